--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -1,4 +1,4 @@
-/** Starts a gateway: its tasks, and what passes between them. */
+/** Starts a gateway: creates its tasks and connects them to each other. */
 import * as crypto from 'node:crypto';
 import * as gateway from '@toucanproxy/core/gateway';
 import * as runtime from '@toucanproxy/runtime';
@@ -23,9 +23,11 @@
   callerPort: number;
   operatorPort: number;
   countBackendServers: () => number;
-  /** Takes changed bounds into force; addresses stay as they were at the start. */
+  /** Applies changed limits; addresses keep their values from the start. */
   reload: (settings: gatewaySettings.GatewaySettings) => void;
+  /** Begins a graceful shutdown. */
   shutDown: () => void;
+  /** Stops at once. */
   stop: () => void;
 };
 
@@ -37,31 +39,32 @@
   stopped: () => void;
 };
 
-/** Longest wait for the store at the start, milliseconds: two tries of its reader. */
-const FIRST_READ_MS = 2000;
-/** Bytes of a life's random name. */
-const LIFE_BYTES = 4;
+/** Longest wait for the store at startup, milliseconds; enough for two attempts to read it. */
+const FIRST_READ_TIMEOUT_MS = 2000;
+/** Length of the random id of a process incarnation (`life`), bytes. */
+const LIFE_ID_BYTES = 4;
 /**
- * Part of the revocation bound for which an answer of the store holds. The rest,
- * 1.3 s of 5, covers watches that hear nothing for a second before the store
- * drops its history, and a request on its way.
+ * Share of the revocation time for which a response of the store confirms the configuration. The
+ * rest, 1.3 s of 5 s, covers watches that get no events for a second before the store drops its
+ * history, and requests that are already on their way.
  */
 const LEASE_SHARE = 0.74;
 /**
- * Part of the tolerance of quotas that is given out. The rest covers what gateways
- * admit before they hear of each other, five times a second.
+ * Share of the quota tolerance that is used. The rest covers what gateways admit before they
+ * learn of each other's usage, which they report five times a second.
  */
 const TOLERANCE_SHARE = 0.7;
-/** Living backend servers are back in the store this long after its return, ms. */
+/** Time after the store is reachable again by which live backend servers have re-registered, ms. */
 const ENTRY_RETURN_MS = 2300;
 /**
- * Part of the declared retry ratio that is used. The budget is kept over a
- * fading window, the rule over a sliding one; the difference is below a fifth.
+ * Share of the declared retry ratio that is used. The retry budget is computed over an
+ * exponentially decaying window, while the declared ratio applies to a sliding window; the results
+ * differ by less than a fifth.
  */
-const RETRY_USED_SHARE = 0.8;
+const RETRY_BUDGET_SHARE = 0.8;
 const PERCENT = 100;
 
-/** Builds the bounds that the core decides by. */
+/** Builds the limits that the core bases its decisions on. */
 function buildBounds(settings: gatewaySettings.GatewaySettings): gateway.GatewayBounds {
   const { revocationMs, quotaTolerance, retryRatio, retryExtra, warmUpTolerance } = settings;
   return {
@@ -72,31 +75,33 @@
       slack: quotaTolerance.slack * TOLERANCE_SHARE,
       windowMs: quotaTolerance.windowMs,
     },
-    retryPercent: retryRatio * RETRY_USED_SHARE * PERCENT,
-    retryExtra: retryExtra * RETRY_USED_SHARE,
+    retryPercent: retryRatio * RETRY_BUDGET_SHARE * PERCENT,
+    retryExtra: retryExtra * RETRY_BUDGET_SHARE,
     warmUpTolerance,
   };
 }
 
-/** Tells whether the balancer may send callers here. */
+/** Returns whether the load balancer may send callers here. */
 function isReady(state: gateway.GatewayState, readClocks: clocks.ReadClocks): boolean {
   const { index, bounds, belief } = state;
   const standing = gateway.getStanding(belief, index !== undefined, bounds.leaseMs, readClocks());
   return state.shutdownMs === 0 && standing === gateway.Standing.CONFIRMED;
 }
 
-/** Starts the servers for operators: one for the balancer, one for metrics. */
-function startOperators(
+/** Starts the operator servers: one for the load balancer, and one for metrics if configured. */
+function startOperatorServers(
   { settings }: GatewayOptions,
-  { state, readClocks, metrics, storeLink, unknown }: ReturnType<typeof createParts>,
+  { state, readClocks, metrics, storeStatus, unknown }: ReturnType<typeof createComponents>,
 ): Promise<runtime.OperatorServer[]> {
-  const addresses = [settings.operators, settings.metrics].filter((one) => one !== undefined);
+  const addresses = [settings.operators, settings.metrics].filter(
+    (address) => address !== undefined,
+  );
   return Promise.all(
     addresses.map((address) =>
       runtime.startOperatorServer({
         ...address,
         renderMetrics: metrics.render,
-        describeStatus: () => status.describeStatus(state, storeLink, unknown, readClocks()),
+        describeStatus: () => status.describeStatus(state, storeStatus, unknown, readClocks()),
         isReady: () => isReady(state, readClocks),
         readinessPath: settings.readinessPath,
       }),
@@ -107,7 +112,7 @@
 /** Creates the server for callers; it does not listen yet. */
 function createCallers(
   { settings }: GatewayOptions,
-  { log, metrics }: ReturnType<typeof createParts>,
+  { log, metrics }: ReturnType<typeof createComponents>,
   task: gatewayTask.GatewayTask,
 ): callerServer.CallerServer {
   return callerServer.createCallerServer({
@@ -121,23 +126,23 @@
 }
 
 /**
- * Waits for what a gateway needs to serve.
+ * Waits until the store has been read for the first time, or until a timeout.
  *
- * After all gateways were killed their callers return at once. Served before the
- * configuration is known, they would be refused and return late. Bounded, as a
- * store that is away may be so for long, and public routes need no lease.
+ * When all gateways have been killed, their callers reconnect at once. If they were served before
+ * the configuration is known, they would be refused and retry only later. The wait is bounded
+ * because the store may be unreachable for long and public routes need no confirmed configuration.
  */
-async function waitForFirst({ first }: storeReader.StoreReader): Promise<void> {
+async function waitForFirstRead({ firstRead }: storeReader.StoreReader): Promise<void> {
   let timer: NodeJS.Timeout | undefined;
   const timeout = new Promise<void>((resolve) => {
-    timer = setTimeout(resolve, FIRST_READ_MS);
+    timer = setTimeout(resolve, FIRST_READ_TIMEOUT_MS);
   });
-  await Promise.race([first, timeout]);
+  await Promise.race([firstRead, timeout]);
   clearTimeout(timer);
 }
 
-/** Creates what the tasks of a gateway share. */
-function createParts({ settings, protocol }: GatewayOptions, life: string) {
+/** Creates the components that the tasks of a gateway share. */
+function createComponents({ settings, protocol }: GatewayOptions, life: string) {
   const logger = runtime.createLogger('toucanproxy-gateway', { gateway: settings.name, life });
   const { peerListen, failureDomain, processorPercent, peerSeeds, domainRegions } = settings;
   const address = `${peerListen.host}:${peerListen.port}`;
@@ -155,7 +160,7 @@
     connections: backendConnections.createBackendConnections(),
     readClocks: clocks.createClockReader(),
     log: decisionLog.createDecisionLog(logger),
-    storeLink: { isLost: false },
+    storeStatus: { isLost: false },
     unknown: new Map() as unknownNames.UnknownNames,
     metrics: gatewayMetrics.createGatewayMetrics(state, clocks.readSteadyMs),
   };
@@ -164,9 +169,9 @@
 /** Starts a gateway. */
 export async function startGateway(options: GatewayOptions): Promise<GatewayDaemon> {
   const { settings, codec } = options;
-  const life = crypto.randomBytes(LIFE_BYTES).toString('hex');
-  const parts = createParts(options, life);
-  const { state, connections, log } = parts;
+  const life = crypto.randomBytes(LIFE_ID_BYTES).toString('hex');
+  const components = createComponents(options, life);
+  const { state, connections, log } = components;
   const reportProblem = (reason: string) =>
     log.write('peer-problem', { reason }, clocks.readSteadyMs());
   const peers = peerTask.startPeerTask({
@@ -176,19 +181,19 @@
     readNow: clocks.readSteadyMs,
     reportProblem,
   });
-  const task = gatewayTask.createGatewayTask({ ...parts, sendToPeers: peers.send });
-  peers.passTo(task);
-  const operators = await startOperators(options, parts);
-  const callers = createCallers(options, parts, task);
+  const task = gatewayTask.createGatewayTask({ ...components, sendToPeers: peers.send });
+  peers.setScheduleReceiver(task);
+  const operators = await startOperatorServers(options, components);
+  const callers = createCallers(options, components, task);
   const follower = storeFollower.startStoreFollower({
-    ...parts,
+    ...components,
     settings,
     codec,
     callers,
     assign: task.assign,
   });
   task.start();
-  await waitForFirst(follower);
+  await waitForFirstRead(follower);
   const callerPort = await callers.listen();
   log.writeAlways('started', { settings });
   return {
@@ -201,6 +206,8 @@
     },
     shutDown: () => shutdown.beginShutdown({ state, callers, task, peers, log, ...options }),
     stop: () =>
-      [follower, task, peers, callers, ...operators, connections].forEach((part) => part.stop()),
+      [follower, task, peers, callers, ...operators, connections].forEach((component) =>
+        component.stop(),
+      ),
   };
 }
--- a/packages/gateway/src/attempt-sending.ts
+++ b/packages/gateway/src/attempt-sending.ts
@@ -1,22 +1,22 @@
-/** Sends requests to backend servers, and takes in how that ended. */
+/** Sends requests to backend servers and handles the outcome of each attempt. */
 import * as gateway from '@toucanproxy/core/gateway';
 import * as schema from '@toucanproxy/schema';
-import * as answerRelay from './answer-relay.js';
 import * as backendAttempt from './backend-attempt.js';
 import * as callerExchange from './caller-exchange.js';
 import type * as heldRequest from './held-request.js';
 import * as outgoingRequest from './outgoing-request.js';
 import * as requestEnding from './request-ending.js';
 import * as requestReports from './request-reports.js';
+import * as responseRelay from './response-relay.js';
 import * as statementReports from './statement-reports.js';
 import type * as taskState from './task-state.js';
 import * as unknownNames from './unknown-names.js';
 
-/** Takes in how an attempt ended. */
+/** Handles the outcome of an attempt. */
 function handleOutcome(
   task: taskState.TaskState,
   held: heldRequest.HeldRequest,
-  outcome: answerRelay.AttemptOutcome,
+  outcome: responseRelay.AttemptOutcome,
 ): void {
   if (held.done) {
     return;
@@ -30,7 +30,7 @@
     gateway.noteGoodAnswer(task.state, request, now);
     gateway.noteWholeAnswer(task.state, request.arrived.hashContent, clocks);
     gateway.endRequest(task.state, request);
-    requestEnding.forget(task, held);
+    requestEnding.removeRequest(task, held);
     const fields = { server: serverId, status: outcome.status };
     requestReports.reportEnd(task, held, schema.ResultCode.COMPLETED, fields);
     task.assign();
@@ -38,7 +38,7 @@
   }
   const { fault, reason, failure } = outcome;
   const hasBegun = held.exchange.response.headersSent;
-  const canGoOn = !hasBegun || held.events?.lastId !== undefined;
+  const canGoOn = !hasBegun || held.events?.lastEventId !== undefined;
   const progress = { hasBegun, canGoOn };
   const { revision } = task.state.suspects;
   const verdict = gateway.handleAttemptFault(task.state, request, fault, progress, clocks);
@@ -50,12 +50,12 @@
   task.assign();
 }
 
-/** Carries out what was decided after a fault. */
+/** Applies the decision that was made after a fault. */
 function applyVerdict(
   task: taskState.TaskState,
   held: heldRequest.HeldRequest,
   verdict: gateway.AttemptVerdict,
-  failure: Extract<answerRelay.AttemptOutcome, { kind: 'fault' }>['failure'],
+  failure: Extract<responseRelay.AttemptOutcome, { kind: 'fault' }>['failure'],
 ): void {
   if (verdict.kind === 'refuse') {
     requestEnding.refuse(task, held, verdict.refusal);
@@ -71,9 +71,9 @@
     });
     return;
   }
-  requestEnding.forget(task, held);
+  requestEnding.removeRequest(task, held);
   requestReports.reportEnd(task, held, schema.ResultCode.ENGINE_FAILED, { status: failure.status });
-  callerExchange.sendAnswer(held.exchange, failure, failure.body);
+  callerExchange.sendResponse(held.exchange, failure, failure.body);
 }
 
 /** Sends a request to a backend server. */
@@ -88,30 +88,30 @@
     task.metrics.recordWait(request.urgency, request.sentMs - request.arrivedMs);
   }
   if (held.events !== undefined) {
-    held.events.rest = Buffer.alloc(0);
+    held.events.pending = Buffer.alloc(0);
   }
   const readNow = () => task.readClocks().steadyMs;
-  const listener = answerRelay.createRelay({
+  const listener = responseRelay.createRelay({
     held,
     protocol: task.protocol,
     readNow,
     settle: (outcome) => handleOutcome(task, held, outcome),
-    observePace: (unitMs) => gateway.noteUnit(task.state, request, unitMs, readNow()),
+    observeUnitTime: (unitMs) => gateway.noteUnit(task.state, request, unitMs, readNow()),
     observeFirstEvent: (ms) => {
       held.firstEventMs ??= Math.round(readNow() - request.arrivedMs);
       gateway.noteFirstEvent(task.state, request, ms, readNow());
       task.metrics.recordFirstEvent(request.route.name, ms);
     },
-    mayLeave: () => gateway.isStillUsable(task.state, request, readNow()),
-    observeStatements: (names) => {
-      statementReports.takeStatements(task, request, names);
-      unknownNames.noteUnknownNames(task.unknown, task.log, names.unknown, readNow());
+    canSend: () => gateway.isStillUsable(task.state, request, readNow()),
+    observeStatements: (parsed) => {
+      statementReports.applyStatements(task, request, parsed);
+      unknownNames.recordUnknownNames(task.unknown, task.log, parsed.unknown, readNow());
     },
   });
   const connection = task.connections.take(server.address);
   held.attempt = backendAttempt.startAttempt(
     connection,
-    outgoingRequest.buildOutgoing(task.protocol, held, server),
+    outgoingRequest.buildOutgoingRequest(task.protocol, held, server),
     listener,
   );
 }
--- a/packages/gateway/src/backend-attempt.test.ts
+++ b/packages/gateway/src/backend-attempt.test.ts
@@ -8,8 +8,8 @@
 const { test } = nodeTest;
 const REQUEST = { method: 'GET', path: '/a', headers: ['host', 'a.example'], body: null };
 
-/** Sends a request to a server that counts what arrives; gives how it ended. */
-async function sendOnce(mayLeave: boolean): Promise<{ ending: string; arrived: number }> {
+/** Sends a request to a server that counts the requests it gets; returns how the attempt ended. */
+async function sendOnce(canSend: boolean): Promise<{ ending: string; arrived: number }> {
   let arrived = 0;
   const server = http.createServer((_, response) => {
     arrived += 1;
@@ -22,7 +22,7 @@
   const { port } = server.address() as net.AddressInfo;
   const ending = await new Promise<string>((resolve) => {
     backendAttempt.startAttempt(connections.take(`127.0.0.1:${port}`), REQUEST, {
-      mayLeave: () => mayLeave,
+      canSend: () => canSend,
       onHead: () => true,
       onData: () => true,
       onEnd: () => resolve('end'),
@@ -35,11 +35,12 @@
   return { ending, arrived };
 }
 
-test('request leaves over an open connection', async () => {
+test('request is sent over an open connection', async () => {
   assert.deepEqual(await sendOnce(true), { ending: 'end', arrived: 1 });
 });
 
-test('withdrawn request never leaves', async () => {
-  // Guards against requests to a server that left, or asked for a backoff, as they connected.
+test('withdrawn request is never sent', async () => {
+  // Guards against sending to a server that began to leave, or asked for a backoff, while the
+  // gateway was connecting to it.
   assert.deepEqual(await sendOnce(false), { ending: 'withdrawn', arrived: 0 });
 });
--- a/packages/gateway/src/backend-attempt.ts
+++ b/packages/gateway/src/backend-attempt.ts
@@ -1,27 +1,30 @@
 /**
- * One request on one connection to a backend server.
+ * Runs one attempt: one request on one connection to a backend server.
  *
- * The HTTP library takes a reset for the end of an answer that has no length;
- * such an answer is cut, and its caller would not see it. So the connection
- * notes a reset by itself, before the library hears of it.
+ * If a response has no length, the HTTP library treats a connection reset as its normal end, so a
+ * truncated response would look complete to the caller. The connection therefore records a reset
+ * itself, before the library handles it, and the attempt checks for one.
  */
 import type * as backendConnections from './backend-connections.js';
 import * as endToEndHeaders from './end-to-end-headers.js';
 import type * as wireProtocol from './wire-protocol.js';
 
-/** What an attempt tells as it goes on; one of `onEnd`, `onWithdrawn` and `onBroken` ends it. */
+/**
+ * Callbacks of an attempt. The last one is `onEnd`, `onWithdrawn` or `onBroken`, unless the attempt
+ * is aborted or `onHead` stops it.
+ */
 export type AttemptListener = {
-  /** Gives false to stop the attempt. */
-  onHead: (status: number, headers: wireProtocol.RawHeaders, isFresh: boolean) => boolean;
-  /** Gives false to pause until `resume` is called. */
+  /** Returns false to stop the attempt. */
+  onHead: (status: number, headers: wireProtocol.RawHeaders, isNewConnection: boolean) => boolean;
+  /** Returns false to pause until `resume` is called. */
   onData: (chunk: Buffer) => boolean;
   onEnd: () => void;
-  /** Asked before the first byte leaves; false withdraws the request. */
-  mayLeave: () => boolean;
-  /** No byte of the request has left, as `mayLeave` did not let it. */
+  /** Called before the first byte is sent; returning false withdraws the request. */
+  canSend: () => boolean;
+  /** The attempt ended because `canSend` returned false; no byte of the request was sent. */
   onWithdrawn: () => void;
-  /** `mayHaveLeft` is false where no byte of the request left. */
-  onBroken: (reason: string, mayHaveLeft: boolean) => void;
+  /** The connection failed; `mayHaveBeenSent` is false if no byte of the request was sent. */
+  onBroken: (reason: string, mayHaveBeenSent: boolean) => void;
 };
 
 export type OutgoingRequest = {
@@ -32,74 +35,74 @@
 };
 
 export type BackendAttempt = {
-  /** Ends the attempt and its connection; nothing more is told. */
+  /** Ends the attempt and closes its connection; no callback is called afterwards. */
   abort: () => void;
   resume: () => void;
-  /** False while no byte of the request can have left. */
-  mayHaveLeft: () => boolean;
+  /** Returns false as long as no byte of the request can have been sent. */
+  mayHaveBeenSent: () => boolean;
 };
 
-const SWITCHING_MAX_STATUS = 199;
+const MAX_INFORMATIONAL_STATUS = 199;
 
-/** Reads the raw headers of the HTTP library. */
+/** Converts the raw headers of the HTTP library to text. */
 function toRawHeaders(headers: Buffer[]): wireProtocol.RawHeaders {
-  return headers.map((one) => one.toString('latin1'));
+  return headers.map((part) => part.toString('latin1'));
 }
 
-/** Names an error for the log. */
+/** Describes an error for the log: its code if it has one, otherwise its message. */
 function describeError(error: Error): string {
   return (error as { code?: string }).code ?? error.message;
 }
 
-/** Sends a request over a connection. */
+/** Starts an attempt: sends a request over a connection. */
 export function startAttempt(
   connection: backendConnections.BackendConnection,
   request: OutgoingRequest,
   listener: AttemptListener,
 ): BackendAttempt {
-  let left = false;
+  let isSent = false;
   let ended = false;
-  let hasLength = false;
-  let isKept = true;
+  let isDelimited = false;
+  let isKeptAlive = true;
   let resume = () => {};
-  const isFresh = connection.answered === 0;
-  const end = (tell: () => void, isClean: boolean) => {
+  const isNewConnection = connection.completedResponses === 0;
+  const end = (notify: () => void, isReusable: boolean) => {
     if (!ended) {
       ended = true;
-      connection.release(isClean);
-      tell();
+      connection.release(isReusable);
+      notify();
     }
   };
   const handler = {
     onConnect: (abort: () => void) => {
-      if (ended || listener.mayLeave()) {
-        left = true;
+      if (ended || listener.canSend()) {
+        isSent = true;
         return;
       }
       end(listener.onWithdrawn, false);
       abort();
     },
-    onHeaders: (status: number, given: Buffer[], resumeReading: () => void) => {
-      if (status <= SWITCHING_MAX_STATUS) {
+    onHeaders: (status: number, rawHeaders: Buffer[], resumeReading: () => void) => {
+      if (status <= MAX_INFORMATIONAL_STATUS) {
         return true;
       }
       resume = resumeReading;
-      const headers = toRawHeaders(given);
-      hasLength = endToEndHeaders.isFramed(status, headers);
-      isKept = endToEndHeaders.findHeader(headers, 'connection')?.toLowerCase() !== 'close';
-      if (!ended && !listener.onHead(status, headers, isFresh)) {
+      const headers = toRawHeaders(rawHeaders);
+      isDelimited = endToEndHeaders.isSelfDelimited(status, headers);
+      isKeptAlive = endToEndHeaders.findHeader(headers, 'connection')?.toLowerCase() !== 'close';
+      if (!ended && !listener.onHead(status, headers, isNewConnection)) {
         end(() => {}, false);
       }
       return true;
     },
     onData: (chunk: Buffer) => ended || listener.onData(chunk),
     onComplete: () => {
-      const isCut = connection.wasReset() && !hasLength;
-      const tell = isCut ? () => listener.onBroken('reset', true) : listener.onEnd;
-      end(tell, !isCut && hasLength && isKept);
+      const isTruncated = connection.wasReset() && !isDelimited;
+      const notify = isTruncated ? () => listener.onBroken('reset', true) : listener.onEnd;
+      end(notify, !isTruncated && isDelimited && isKeptAlive);
     },
     onError: (error: Error) => {
-      end(() => listener.onBroken(describeError(error), left), false);
+      end(() => listener.onBroken(describeError(error), isSent), false);
     },
   };
   const options = { ...request, idempotent: true, blocking: false };
@@ -107,6 +110,6 @@
   return {
     abort: () => end(() => {}, false),
     resume: () => resume(),
-    mayHaveLeft: () => left,
+    mayHaveBeenSent: () => isSent,
   };
 }
--- a/packages/gateway/src/backend-connections.ts
+++ b/packages/gateway/src/backend-connections.ts
@@ -1,23 +1,23 @@
 /**
- * Connections to backend servers, one request at a time on each.
+ * Pool of connections to backend servers; each carries one request at a time.
  *
- * A connection is used again only after a complete answer with a length and no
- * byte behind it. Bytes that come between two requests close it: the library
- * meets them without a request in hand.
+ * A connection is reused only after a complete response that has a length, with no bytes after it.
+ * Bytes that arrive between two requests close the connection, because the HTTP library has no
+ * request that they could belong to.
  */
 import * as undici from 'undici';
 
 export type BackendConnection = {
   client: undici.Client;
-  /** Answers that came whole. */
-  answered: number;
+  /** Number of responses received completely; -1 once the connection has been discarded. */
+  completedResponses: number;
   wasReset: () => boolean;
-  /** Keeps the connection for the next request where the last one ended cleanly. */
-  release: (isClean: boolean) => void;
+  /** Returns the connection to the pool if it can be reused; closes it otherwise. */
+  release: (isReusable: boolean) => void;
 };
 
 export type BackendConnections = {
-  /** Takes an idle connection to an address, or opens one. */
+  /** Takes an idle connection to an address, or opens a new one. */
   take: (address: string) => BackendConnection;
   /** Closes idle connections to addresses that are no longer used. */
   closeOthers: (addresses: ReadonlySet<string>) => void;
@@ -25,35 +25,36 @@
 };
 
 /**
- * Longest time to connect, milliseconds. Ways between failure domains take a few
- * milliseconds; a silent backend server must not hold a request for long.
+ * Timeout for connecting, milliseconds. The latency between failure domains is a few milliseconds;
+ * an unresponsive backend server must not delay a request for long.
  */
 const CONNECT_TIMEOUT_MS = 400;
 /**
- * Idle connections close after this, milliseconds, or a second before the time
- * that the backend server names. Shorter than usual idle limits, as a request
- * that meets the closing of its connection may have run.
+ * Idle connections are closed after this time, milliseconds, or one second before the keep-alive
+ * timeout that the backend server announces. It is shorter than the usual idle timeouts of
+ * servers: if the server closes a connection while a request is being sent, that request may have
+ * run.
  */
-const IDLE_MS = 3000;
-/** The same where the backend server names a time, milliseconds. */
-const LONGEST_IDLE_MS = 30_000;
+const KEEP_ALIVE_MS = 3000;
+/** Upper limit for a keep-alive timeout that the backend server announces, milliseconds. */
+const MAX_KEEP_ALIVE_MS = 30_000;
 
-/** Opens a connection; its socket notes a reset before the library hears of it. */
+/** Opens a connection; a listener on its socket records a reset before the library handles it. */
 function openConnection(
   address: string,
-  forget: (connection: BackendConnection) => void,
-  keep: (connection: BackendConnection) => void,
+  removeIdle: (connection: BackendConnection) => void,
+  addIdle: (connection: BackendConnection) => void,
 ): BackendConnection {
-  let reset = false;
+  let isReset = false;
   const connector = undici.buildConnector({ timeout: 0 });
   const client: undici.Client = new undici.Client(`http://${address}`, {
     pipelining: 1,
     headersTimeout: 0,
     bodyTimeout: 0,
-    keepAliveTimeout: IDLE_MS,
-    keepAliveMaxTimeout: LONGEST_IDLE_MS,
+    keepAliveTimeout: KEEP_ALIVE_MS,
+    keepAliveMaxTimeout: MAX_KEEP_ALIVE_MS,
     connect: (options, callback) => {
-      // The library's own timers for connections are up to a second late.
+      // The library's own connection timers fire up to a second late.
       const timer = setTimeout(
         () => client.destroy(new Error('connect-timeout')),
         CONNECT_TIMEOUT_MS,
@@ -62,7 +63,7 @@
         clearTimeout(timer);
         const socket = results[1];
         socket?.prependListener('error', () => {
-          reset = true;
+          isReset = true;
         });
         callback(...results);
       });
@@ -70,55 +71,55 @@
   });
   const connection: BackendConnection = {
     client,
-    answered: 0,
-    wasReset: () => reset,
-    release: (isClean) => {
-      if (!isClean) {
-        connection.answered = -1;
+    completedResponses: 0,
+    wasReset: () => isReset,
+    release: (isReusable) => {
+      if (!isReusable) {
+        connection.completedResponses = -1;
         client.destroy();
         return;
       }
-      connection.answered += 1;
-      keep(connection);
+      connection.completedResponses += 1;
+      addIdle(connection);
     },
   };
   client.on('disconnect', () => {
-    forget(connection);
+    removeIdle(connection);
     client.destroy();
   });
   return connection;
 }
 
-/** Creates an empty set of connections. */
+/** Creates an empty connection pool. */
 export function createBackendConnections(): BackendConnections {
   const idle = new Map<string, BackendConnection[]>();
-  const listIdle = (address: string) => {
-    const known = idle.get(address) ?? [];
-    idle.set(address, known);
-    return known;
+  const getIdle = (address: string) => {
+    const connections = idle.get(address) ?? [];
+    idle.set(address, connections);
+    return connections;
   };
-  const forget = (address: string, connection: BackendConnection) => {
-    const known = listIdle(address);
-    const index = known.indexOf(connection);
+  const removeIdle = (address: string, connection: BackendConnection) => {
+    const connections = getIdle(address);
+    const index = connections.indexOf(connection);
     if (index !== -1) {
-      known.splice(index, 1);
+      connections.splice(index, 1);
     }
   };
   const closeAll = (address: string) => {
-    const known = idle.get(address) ?? [];
+    const connections = idle.get(address) ?? [];
     idle.delete(address);
-    known.forEach(({ client }) => client.destroy());
+    connections.forEach(({ client }) => client.destroy());
   };
   return {
     take: (address) =>
-      listIdle(address).pop() ??
+      getIdle(address).pop() ??
       openConnection(
         address,
-        (connection) => forget(address, connection),
+        (connection) => removeIdle(address, connection),
         (connection) => {
-          // A server that asked for the closing has closed the client by now.
+          // If the server asked to close the connection, the client is already destroyed here.
           if (!connection.client.destroyed) {
-            listIdle(address).push(connection);
+            getIdle(address).push(connection);
           }
         },
       ),
--- a/packages/gateway/src/caller-exchange.ts
+++ b/packages/gateway/src/caller-exchange.ts
@@ -1,13 +1,13 @@
-/** One request of a caller, with the connection that its answer goes to. */
+/** One request of a caller and the response to it. */
 import * as http from 'node:http';
 import type * as gateway from '@toucanproxy/core/gateway';
-import * as ownAnswer from './own-answer.js';
+import * as localResponse from './local-response.js';
 import type * as heldRequest from './held-request.js';
 import type * as wireProtocol from './wire-protocol.js';
 
 export type CallerExchange = {
   method: string;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   target: string;
   headers: wireProtocol.RawHeaders;
   body: Buffer;
@@ -15,51 +15,51 @@
 };
 
 /**
- * Begins an answer.
+ * Starts a response: sends its status and headers.
  *
- * An answer without a length ends with its connection, cut short or not: nobody
- * can tell. Given a length here, a short one would look whole to the caller. So
- * it is passed on as it came, without a length.
+ * A response without a length ends when its connection closes, and nobody can tell whether it was
+ * truncated. If the gateway added a length or chunked coding, a truncated response would look
+ * complete to the caller. It is therefore forwarded as received, without either.
  */
-export function beginAnswer(exchange: CallerExchange, head: heldRequest.AnswerHead): void {
+export function startResponse(exchange: CallerExchange, head: heldRequest.ResponseHead): void {
   const { response } = exchange;
   response.sendDate = false;
-  if (!head.isFramed) {
+  if (!head.isSelfDelimited) {
     response.shouldKeepAlive = false;
     response.useChunkedEncodingByDefault = false;
   }
   response.writeHead(head.status, head.headers);
 }
 
-/** Sends a whole answer. */
-export function sendAnswer(
+/** Sends a complete response. */
+export function sendResponse(
   exchange: CallerExchange,
-  head: heldRequest.AnswerHead,
+  head: heldRequest.ResponseHead,
   body: Buffer,
 ): void {
-  const length = head.isFramed ? ['Content-Length', String(body.length)] : [];
-  beginAnswer(exchange, { ...head, headers: [...head.headers, ...length] });
+  const length = head.isSelfDelimited ? ['Content-Length', String(body.length)] : [];
+  startResponse(exchange, { ...head, headers: [...head.headers, ...length] });
   exchange.response.end(body);
 }
 
-/** Answers with a refusal; an answer that has begun is cut instead. */
+/** Responds with a refusal; a response that has already started is aborted instead. */
 export function sendRefusal(exchange: CallerExchange, refusal: gateway.Refusal): void {
   if (exchange.response.headersSent) {
-    cutAnswer(exchange);
+    abortResponse(exchange);
     return;
   }
-  const { status, headers, body } = ownAnswer.buildOwnAnswer(refusal);
+  const { status, headers, body } = localResponse.buildLocalResponse(refusal);
   exchange.response.writeHead(status, { ...headers, 'content-length': Buffer.byteLength(body) });
   exchange.response.end(body);
 }
 
 /**
- * Cuts an answer that cannot be completed.
+ * Aborts a response that cannot be completed.
  *
- * Ended in the usual way, a caller would take the part that it has for the
- * whole. An answer without a length needs a reset to look cut.
+ * If it ended normally, the caller would take the part it has received for the complete response. A
+ * response without a length needs a connection reset to be recognised as truncated.
  */
-export function cutAnswer({ response }: CallerExchange): void {
+export function abortResponse({ response }: CallerExchange): void {
   if (response.useChunkedEncodingByDefault) {
     response.destroy();
   } else {
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -1,4 +1,4 @@
-/** The task that owns callers' connections. */
+/** HTTP server for callers; owns their connections. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import type * as gateway from '@toucanproxy/core/gateway';
@@ -6,23 +6,23 @@
 import * as schema from '@toucanproxy/schema';
 import type * as callerExchange from './caller-exchange.js';
 import type * as gatewaySettings from './gateway-settings.js';
-import * as ownAnswer from './own-answer.js';
+import * as localResponse from './local-response.js';
 
 export type CallerServer = {
-  /** Begins to listen and gives the port. */
+  /** Starts listening; resolves to the port. */
   listen: () => Promise<number>;
-  /** Brings what callers may do in line with the configuration. */
+  /** Applies the limits for callers that the configuration declares. */
   applyBounds: (bounds: gateway.CallerBounds) => void;
-  /** Asks each connection to close after its next answer. */
+  /** Closes each connection after its next response. */
   beginShutdown: () => void;
-  /** Takes no new connection and closes those that are idle. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening: () => void;
   stop: () => void;
 };
 
 type CallerServerOptions = {
   listen: gatewaySettings.ListenAddress;
-  /** A request has been read. */
+  /** Called with each request that has been read completely. */
   receive: (exchange: callerExchange.CallerExchange) => void;
   reportRefusal: (code: schema.ResultCode) => void;
 };
@@ -30,37 +30,45 @@
 type ServerState = {
   options: CallerServerOptions;
   bounds: gateway.CallerBounds;
-  closing: boolean;
+  isShuttingDown: boolean;
 };
 
-/** Before the first configuration; the largest headers that any may allow, bytes. */
-const HARD_HEADER_BYTES = 65_536;
-/** Where nothing is declared yet. */
+/**
+ * Limit of the HTTP parser, bytes. It is fixed before the first configuration is known, so it is
+ * the most that any configuration can allow.
+ */
+const PARSER_MAX_HEADER_BYTES = 65_536;
+/** Limits that apply until a configuration is active. */
 const DEFAULT_BOUNDS: gateway.CallerBounds = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
   headerTimeoutMs: 3000,
   idleTimeoutMs: 15_000,
 };
-/** Longest time for a whole request, milliseconds; slow bodies hold memory. */
+/** Timeout for reading a whole request, milliseconds; bodies that arrive slowly occupy memory. */
 const REQUEST_TIMEOUT_MS = 30_000;
-/** How often slow requests are looked for, milliseconds. */
+/** Interval at which request timeouts are checked, milliseconds. */
 const TIMEOUT_CHECK_MS = 1000;
 
-/** Refuses a request before it is read to its end; the connection closes. */
+/** Refuses a request before it has been read completely, and closes its connection. */
 function refuse(state: ServerState, response: http.ServerResponse, code: schema.ResultCode): void {
   state.options.reportRefusal(code);
-  const { status, headers, body } = ownAnswer.buildOwnAnswer({ code, retryAfterMs: undefined });
+  const { status, headers, body } = localResponse.buildLocalResponse({
+    code,
+    retryAfterMs: undefined,
+  });
   response.writeHead(status, { ...headers, connection: 'close' });
   response.end(body);
 }
 
-/** Counts the bytes of headers. */
+/** Counts the bytes of raw headers, with two bytes of separators for each name and each value. */
 function countHeaderBytes(headers: string[]): number {
   return headers.reduce((sum, part) => sum + part.length + 2, 0);
 }
 
-/** Finds what is wrong with the head of a request. */
+/**
+ * Checks the headers and target of a request; returns the result code if they are not acceptable.
+ */
 function findHeadFault(
   state: ServerState,
   request: http.IncomingMessage,
@@ -76,41 +84,41 @@
   return isPath ? undefined : schema.ResultCode.MALFORMED_REQUEST;
 }
 
-/** Reads the body and hands the request on. */
+/** Reads the body, then passes the request to `receive`. */
 function readBody(
   state: ServerState,
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
-  request.on('data', (part: Buffer) => {
-    bytes += part.length;
+  request.on('data', (chunk: Buffer) => {
+    bytes += chunk.length;
     if (bytes <= state.bounds.maxBodyBytes) {
-      parts.push(part);
+      chunks.push(chunk);
     } else if (!response.headersSent) {
       refuse(state, response, schema.ResultCode.BODY_TOO_LARGE);
     }
   });
   request.on('end', () => {
     if (!response.headersSent && request.complete) {
-      const body = parts.length === 1 ? parts[0] : Buffer.concat(parts);
+      const body = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
       const { method = '', url = '', rawHeaders } = request;
       state.options.receive({ method, target: url, headers: rawHeaders, body, response });
     }
   });
 }
 
-/** Takes one request. */
+/** Handles one request. */
 function handleRequest(
   state: ServerState,
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  // A caller that resets its connection is no fault of this process.
+  // A caller that resets its connection must not raise an unhandled error here.
   request.on('error', () => response.destroy());
   response.on('error', () => response.destroy());
-  if (state.closing) {
+  if (state.isShuttingDown) {
     response.shouldKeepAlive = false;
   }
   const fault = findHeadFault(state, request);
@@ -121,7 +129,7 @@
   readBody(state, request, response);
 }
 
-/** Answers a connection on which the parser gave up or the time ran out. */
+/** Responds on a connection whose request could not be parsed or timed out. */
 function handleClientError(state: ServerState, error: Error, socket: net.Socket): void {
   const code = runtime.toResultCode(error);
   if (code === undefined) {
@@ -129,13 +137,13 @@
     return;
   }
   state.options.reportRefusal(code);
-  runtime.writeRefusal(socket, ownAnswer.buildOwnAnswer({ code, retryAfterMs: undefined }));
+  runtime.writeRefusal(socket, localResponse.buildLocalResponse({ code, retryAfterMs: undefined }));
 }
 
 /** Creates the HTTP server. */
 function createServer(state: ServerState): http.Server {
   const server = http.createServer({
-    maxHeaderSize: HARD_HEADER_BYTES,
+    maxHeaderSize: PARSER_MAX_HEADER_BYTES,
     headersTimeout: state.bounds.headerTimeoutMs,
     requestTimeout: REQUEST_TIMEOUT_MS,
     keepAliveTimeout: state.bounds.idleTimeoutMs,
@@ -153,7 +161,7 @@
 
 /** Creates the server; it does not listen yet. */
 export function createCallerServer(options: CallerServerOptions): CallerServer {
-  const state: ServerState = { options, bounds: DEFAULT_BOUNDS, closing: false };
+  const state: ServerState = { options, bounds: DEFAULT_BOUNDS, isShuttingDown: false };
   const server = createServer(state);
   return {
     listen: async () => {
@@ -169,7 +177,7 @@
       server.keepAliveTimeout = bounds.idleTimeoutMs;
     },
     beginShutdown: () => {
-      state.closing = true;
+      state.isShuttingDown = true;
     },
     stopListening: () => {
       server.close();
--- a/packages/gateway/src/clocks.ts
+++ b/packages/gateway/src/clocks.ts
@@ -10,28 +10,28 @@
   return perfHooks.performance.now();
 }
 
-/** Reads all clocks at once. */
+/** Function that reads all clocks at once. */
 export type ReadClocks = () => gateway.ClockReading;
 
-/** Difference of two clocks that shows that one of them was stopped or set, ms. */
-const NOTICED_STEP_MS = 20;
+/** Change of the offset between two clocks from which one counts as stopped or set, ms. */
+const CLOCK_STEP_MS = 20;
 
 /**
- * Creates a reader of all clocks.
+ * Creates a function that reads all clocks.
  *
- * The uptime costs a file read. It is read anew only when the steady clock and
- * the time of day have moved apart, which a suspension of the VM causes.
+ * Reading the uptime costs a file read. It is therefore read again only if the offset between the
+ * steady clock and the wall clock has changed, which happens when the VM was suspended.
  */
 export function createClockReader(): ReadClocks {
-  let wallAheadMs = NaN;
-  let uptimeAheadMs = 0;
+  let wallOffsetMs = NaN;
+  let uptimeOffsetMs = 0;
   return () => {
     const steadyMs = readSteadyMs();
     const wallMs = Date.now();
-    if (!(Math.abs(wallMs - steadyMs - wallAheadMs) < NOTICED_STEP_MS)) {
-      wallAheadMs = wallMs - steadyMs;
-      uptimeAheadMs = os.uptime() * MS_PER_SECOND - steadyMs;
+    if (!(Math.abs(wallMs - steadyMs - wallOffsetMs) < CLOCK_STEP_MS)) {
+      wallOffsetMs = wallMs - steadyMs;
+      uptimeOffsetMs = os.uptime() * MS_PER_SECOND - steadyMs;
     }
-    return { steadyMs, wallMs, uptimeMs: steadyMs + uptimeAheadMs };
+    return { steadyMs, wallMs, uptimeMs: steadyMs + uptimeOffsetMs };
   };
 }
--- a/packages/gateway/src/configuration-items.ts
+++ b/packages/gateway/src/configuration-items.ts
@@ -1,11 +1,11 @@
-/** Takes configurations from the store into force. */
+/** Activates configurations that are read from the store. */
 import * as gateway from '@toucanproxy/core/gateway';
 import type * as callerServer from './caller-server.js';
 import type * as decisionLog from './decision-log.js';
 import type * as gatewaySettings from './gateway-settings.js';
 import type * as storeCodec from './store-codec.js';
 
-export type ConfigurationParts = {
+export type ConfigurationDependencies = {
   state: gateway.GatewayState;
   settings: gatewaySettings.GatewaySettings;
   codec: storeCodec.StoreCodec;
@@ -13,36 +13,36 @@
   callers: callerServer.CallerServer;
 };
 
-/** Takes one reading of the configuration in; older versions are left out. */
-function applyItem(parts: ConfigurationParts, { value }: storeCodec.StoreItem): void {
-  const { state, codec, log, callers } = parts;
+/** Activates a configuration unless its version is not newer than the active one. */
+function applyItem(dependencies: ConfigurationDependencies, { value }: storeCodec.StoreItem): void {
+  const { state, codec, log, callers } = dependencies;
   if (value === undefined) {
     log.writeAlways('configuration-deleted', {});
     return;
   }
-  const given = codec.decodeConfiguration(value);
+  const configuration = codec.decodeConfiguration(value);
   const version = state.index?.configuration.version ?? -1;
-  if (given.version <= version) {
+  if (configuration.version <= version) {
     return;
   }
-  state.index = gateway.buildConfigurationIndex(given);
-  callers.applyBounds(given.callerBounds);
-  log.writeAlways('configuration', { version: given.version, before: version });
+  state.index = gateway.buildConfigurationIndex(configuration);
+  callers.applyBounds(configuration.callerBounds);
+  log.writeAlways('configuration', { version: configuration.version, before: version });
 }
 
-/** Takes in those of some items that are the configuration. */
+/** Applies the items that are the configuration. */
 export function applyConfigurations(
-  parts: ConfigurationParts,
+  dependencies: ConfigurationDependencies,
   items: readonly storeCodec.StoreItem[],
 ): void {
   items
-    .filter((item) => item.key === parts.settings.configurationKey)
+    .filter((item) => item.key === dependencies.settings.configurationKey)
     .forEach((item) => {
       try {
-        applyItem(parts, item);
+        applyItem(dependencies, item);
       } catch (error) {
-        // The version in force stays; a faulty one would take every route away.
-        parts.log.writeAlways('configuration-faulty', { reason: (error as Error).message });
+        // The active version is kept, since an invalid one would remove every route.
+        dependencies.log.writeAlways('configuration-faulty', { reason: (error as Error).message });
       }
     });
 }
--- a/packages/gateway/src/content-digest.ts
+++ b/packages/gateway/src/content-digest.ts
@@ -1,13 +1,16 @@
-/** The digest by which content is told apart that crashes backend servers. */
+/** Computes the digest that identifies request content suspected of crashing backend servers. */
 import * as crypto from 'node:crypto';
 import type * as callerExchange from './caller-exchange.js';
 
-/** Digits that are kept; 64 bits are enough among the few suspects at a time. */
-const DIGITS = 16;
+/** Length of the digest in hexadecimal digits; 64 bits suffice for the few suspects at a time. */
+const DIGEST_DIGITS = 16;
 
-/** Computes the digest of what a caller asks for, whoever asks. */
+/**
+ * Computes the digest of method, target and body; the same content from any caller gives the same
+ * digest.
+ */
 export function hashContent({ method, target, body }: callerExchange.CallerExchange): string {
   const head = JSON.stringify([method, target]);
   const digest = crypto.createHash('sha256').update(`${head}\n`).update(body).digest('hex');
-  return digest.slice(0, DIGITS);
+  return digest.slice(0, DIGEST_DIGITS);
 }
--- a/packages/gateway/src/decision-log.ts
+++ b/packages/gateway/src/decision-log.ts
@@ -1,30 +1,30 @@
 /**
- * Log lines of decisions, bounded in volume.
+ * Log of decisions, limited in the number of lines per second.
  *
- * Under a burst each request makes several lines; a reader that falls behind
- * would block the process that serves. Beyond the bound lines are dropped, and
- * their number is told in the next second.
+ * In a burst each request writes several lines, and a log reader that falls behind would block the
+ * process that serves requests. Lines above the limit are dropped, and their number is logged in
+ * the next second.
  */
 import type * as bunyan from 'bunyan';
 
 export type DecisionLog = {
-  /** Writes one line, if there is room in the present second. */
+  /** Writes one line unless the limit for the current second is reached. */
   write: (event: string, fields: Record<string, unknown>, now: number) => void;
-  /** Writes one line in any case, for rare events. */
+  /** Writes one line regardless of the limit; for rare events. */
   writeAlways: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Lines of one process a second: about 200 bytes each, so some 80 KB/s. */
+/** Limit for one process; at about 200 bytes per line some 80 KB/s. */
 const LINES_PER_SECOND = 400;
 const SECOND_MS = 1000;
 
-/** Creates a log over a bunyan logger. */
+/** Creates a decision log that writes to a bunyan logger. */
 export function createDecisionLog(logger: bunyan): DecisionLog {
-  let secondBeganMs = 0;
+  let secondStartMs = 0;
   let written = 0;
   let dropped = 0;
   const beginSecond = (now: number) => {
-    secondBeganMs = now;
+    secondStartMs = now;
     written = 0;
     if (dropped > 0) {
       logger.warn({ event: 'log-dropped', lines: dropped }, 'log-dropped');
@@ -33,7 +33,7 @@
   };
   return {
     write: (event, fields, now) => {
-      if (now - secondBeganMs >= SECOND_MS) {
+      if (now - secondStartMs >= SECOND_MS) {
         beginSecond(now);
       }
       if (written >= LINES_PER_SECOND) {
--- a/packages/gateway/src/evacuation-items.ts
+++ b/packages/gateway/src/evacuation-items.ts
@@ -1,11 +1,11 @@
-/** Takes what operators have had evacuated from the store in. */
+/** Applies the evacuations of failure domains that operators have set in the store. */
 import * as gateway from '@toucanproxy/core/gateway';
 import type * as clocks from './clocks.js';
 import type * as decisionLog from './decision-log.js';
 import type * as gatewaySettings from './gateway-settings.js';
 import type * as storeCodec from './store-codec.js';
 
-export type EvacuationParts = {
+export type EvacuationDependencies = {
   state: gateway.GatewayState;
   settings: gatewaySettings.GatewaySettings;
   codec: storeCodec.StoreCodec;
@@ -13,9 +13,9 @@
   log: decisionLog.DecisionLog;
 };
 
-/** Lists those of some items that tell of evacuations. */
+/** Converts the items that are evacuations to changes. */
 function listChanges(
-  { settings, codec }: EvacuationParts,
+  { settings, codec }: EvacuationDependencies,
   items: readonly storeCodec.StoreItem[],
 ): gateway.EvacuationChange[] {
   return items
@@ -27,9 +27,9 @@
     }));
 }
 
-/** Logs what has changed. */
+/** Logs changes. */
 function reportChanges(
-  { log }: EvacuationParts,
+  { log }: EvacuationDependencies,
   changes: readonly gateway.EvacuationChange[],
 ): void {
   changes.forEach(({ isEvacuated, ...change }) =>
@@ -37,26 +37,26 @@
   );
 }
 
-/** Takes in all evacuations of the store; a domain without one is in use. */
+/** Applies the complete list of evacuations; a failure domain that is not in it is in use. */
 export function applyAllEvacuations(
-  parts: EvacuationParts,
+  dependencies: EvacuationDependencies,
   items: readonly storeCodec.StoreItem[],
   revision: gateway.StoreRevision,
 ): void {
-  const named = listChanges(parts, items);
-  const now = parts.readClocks().steadyMs;
-  const { servers } = parts.state;
-  reportChanges(parts, gateway.applyEvacuationList(servers, named, revision, now));
+  const evacuated = listChanges(dependencies, items);
+  const now = dependencies.readClocks().steadyMs;
+  const { servers } = dependencies.state;
+  reportChanges(dependencies, gateway.applyEvacuationList(servers, evacuated, revision, now));
 }
 
-/** Takes in the evacuations that have changed. */
+/** Applies the evacuations that have changed. */
 export function applyEvacuationChanges(
-  parts: EvacuationParts,
+  dependencies: EvacuationDependencies,
   items: readonly storeCodec.StoreItem[],
 ): void {
-  const changes = listChanges(parts, items);
-  const now = parts.readClocks().steadyMs;
-  const { servers } = parts.state;
-  reportChanges(parts, gateway.applyEvacuations(servers, changes, now));
-  reportChanges(parts, gateway.expireEvacuations(servers, now));
+  const changes = listChanges(dependencies, items);
+  const now = dependencies.readClocks().steadyMs;
+  const { servers } = dependencies.state;
+  reportChanges(dependencies, gateway.applyEvacuations(servers, changes, now));
+  reportChanges(dependencies, gateway.expireEvacuations(servers, now));
 }
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -1,20 +1,21 @@
-/** What a gateway counts and times. */
+/** The metrics of a gateway. */
 import * as gateway from '@toucanproxy/core/gateway';
 import * as runtime from '@toucanproxy/runtime';
 import * as schema from '@toucanproxy/schema';
 
 export type GatewayMetrics = {
-  /** A request has got its final answer. */
+  /** Records that a request has ended. */
   recordEnd: (route: string, service: string, code: schema.ResultCode, inTime: boolean) => void;
+  /** Records that an attempt at a backend server has failed. */
   recordFault: (service: string, fault: gateway.AttemptFault) => void;
-  /** Time from arrival to the first sending, milliseconds. */
+  /** Records the time from arrival to the first send, milliseconds. */
   recordWait: (urgency: number, ms: number) => void;
-  /** Time from sending to the first event, milliseconds. */
+  /** Records the time from sending to the first event, milliseconds. */
   recordFirstEvent: (route: string, ms: number) => void;
   render: () => string;
 };
 
-/** Lists what passed between a gateway and schedulers, and the cells that it schedules. */
+/** Lists the totals of requests to schedulers, and the queues of the cells scheduled here. */
 function listSchedulingValues(state: gateway.GatewayState): runtime.Gauge[] {
   const { asks, grantsUsed, grantsUnused, schedulersLeft } = state.schedulingTotals;
   const queues = [...state.scheduler.cells.values()].map(({ name, queue }) => ({
@@ -31,7 +32,7 @@
   ];
 }
 
-/** Counts the backend servers that have stated something which holds now. */
+/** Counts the backend servers whose statements are in effect, by kind of statement. */
 function listStatementValues({ servers }: gateway.GatewayState, now: number): runtime.Gauge[] {
   const all = [...servers.statements.values()];
   const leaving = all.filter(({ leavingSinceMs }) => leavingSinceMs !== undefined);
@@ -44,7 +45,7 @@
   ];
 }
 
-/** Lists the present values of a gateway. */
+/** Lists the current values of a gateway that are not recorded as they change. */
 function listGauges(state: gateway.GatewayState, now: number): runtime.Gauge[] {
   const version = state.index?.configuration.version ?? 0;
   return [
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -1,50 +1,52 @@
-/** What a gateway process is told at its start. */
+/** Settings of a gateway process. */
 
 import type * as gateway from '@toucanproxy/core/gateway';
 
 export type ListenAddress = { host: string; port: number };
 
 export type GatewaySettings = {
-  /** Name of the VM, for logs. */
+  /** Name of the VM, used in logs. */
   name: string;
   failureDomain: string;
-  /** Where callers are served. */
+  /** Address for callers. */
   callers: ListenAddress;
-  /** Where readiness, status and metrics are served. */
+  /** Address for operators: readiness, status and metrics. */
   operators: ListenAddress;
-  /** Where metrics are served besides; undefined where that is nowhere else. */
+  /** Additional address for operators, meant for metrics; undefined if there is none. */
   metrics: ListenAddress | undefined;
-  /** Path of the readiness question. */
+  /** Path of the readiness check. */
   readinessPath: string;
-  /** Where the other gateways send their reports. */
+  /** Address for datagrams from other gateways. */
   peerListen: ListenAddress;
-  /** Processor time that the process may use, in hundredths of a core. */
+  /** Processor time that the process may use, in percent of one core. */
   processorPercent: number;
-  /** Addresses, IP and port, of gateways to begin with; some may be gone. */
+  /** Addresses ("IP:port") of the gateways to contact first; some may no longer exist. */
   peerSeeds: string[];
   store: ListenAddress;
-  /** Key of the configuration, and beginning of the keys of backend servers. */
+  /** Key of the configuration, and prefix of the keys of backend servers. */
   configurationKey: string;
   serversPrefix: string;
-  /** Beginning of the keys that each have one failure domain evacuated. */
+  /** Prefix of the keys that each mark one failure domain as evacuated. */
   evacuationsPrefix: string;
-  /** Region of each failure domain, by its name. */
+  /** Region of each failure domain, by the name of the domain. */
   domainRegions: Record<string, string>;
-  /** A backend server that leaves gets no new work after this time, milliseconds. */
+  /** Time after which a backend server that is leaving must get no new work, milliseconds. */
   leavingMs: number;
-  /** A configuration is in force after this time, milliseconds. */
+  /** Time within which a new configuration must be active, milliseconds. */
   configurationMs: number;
-  /** A failure domain that is evacuated gets no new work after this time, milliseconds. */
+  /** Time after which an evacuated failure domain must get no new work, milliseconds. */
   evacuationMs: number;
-  /** What a backend server that warms up may get in a second beyond what it bears. */
+  /** How far requests per second to a backend server that is warming up may exceed its capacity. */
   warmUpTolerance: gateway.WarmUpTolerance;
-  /** Revoked credentials must stop working within this time; undefined for no bound, ms. */
+  /** Time within which revoked credentials must stop working, ms; undefined for no limit. */
   revocationMs: number | undefined;
-  /** A stopping process is killed after this time, milliseconds. */
+  /** Time after which a process that is shutting down is killed, milliseconds. */
   stopMs: number;
-  /** What all gateways together may admit beyond a quota: a part of it, and an amount. */
+  /** What all gateways together may admit beyond a quota: a share of it plus a fixed amount. */
   quotaTolerance: gateway.QuotaTolerance;
-  /** Part of sends that may be repeats, and repeats allowed besides, over all gateways. */
+  /**
+   * Share of sends that may be retries, and a number of retries allowed in addition; all gateways.
+   */
   retryRatio: number;
   retryExtra: number;
 };
--- a/packages/gateway/src/gateway-task.ts
+++ b/packages/gateway/src/gateway-task.ts
@@ -1,4 +1,4 @@
-/** The task that owns a gateway's state and the requests in hand. */
+/** The task that owns a gateway's state and the requests in progress. */
 import * as gateway from '@toucanproxy/core/gateway';
 import * as schema from '@toucanproxy/schema';
 import * as attemptSending from './attempt-sending.js';
@@ -14,23 +14,23 @@
 
 export type GatewayTask = {
   receive: (exchange: callerExchange.CallerExchange) => void;
-  /** Assigns what can be assigned; called when something may have made room. */
+  /** Schedules an assignment pass; called when a waiting request may have become assignable. */
   assign: () => void;
-  /** Takes in what other gateways ask this one's scheduler, and what theirs answer. */
+  /** Handle what other gateways ask the scheduler here, and the replies of their schedulers. */
   receiveAsk: (ask: schema.ScheduleAsk) => void;
   receiveReply: (reply: schema.ScheduleReply) => void;
   countHeld: () => number;
-  /** Calls once nothing is in hand. */
+  /** Calls `idle` once no request is in progress. */
   notifyIdle: (idle: () => void) => void;
   start: () => void;
   stop: () => void;
 };
 
-/** What is due by time alone is late by this much at most, milliseconds. */
+/** Interval of assignment passes, milliseconds; limits the delay of what becomes due by time. */
 const TICK_MS = 50;
 const QUERY_START = '?';
 
-/** Sends and refuses requests as was decided. */
+/** Applies assignments: sends requests, refuses them, or reports grants that were not used. */
 function applyAssignments(
   task: taskState.TaskState,
   assignments: readonly gateway.Assignment[],
@@ -53,7 +53,7 @@
   });
 }
 
-/** Does what can be done now. */
+/** Runs one assignment pass: applies all decisions that can be made now. */
 function assignNow(task: taskState.TaskState): void {
   const { assignments, outgoing, notes } = gateway.advance(task.state, task.readClocks());
   task.sendToPeers(outgoing);
@@ -62,8 +62,8 @@
 }
 
 /**
- * Creates the function that assigns once for all that comes in one turn of the event
- * loop: a burst would otherwise cost a datagram for each request and each end of one.
+ * Creates the function that schedules an assignment pass. Calls within one turn of the event loop
+ * share one pass; otherwise a burst would cost a datagram for each request that arrives or ends.
  */
 function createAssign(task: taskState.TaskState): () => void {
   let isDue = false;
@@ -78,13 +78,13 @@
   };
 }
 
-/** Takes in what a scheduler answers. */
+/** Handles a reply from the scheduler of another gateway. */
 function receiveReply(task: taskState.TaskState, reply: schema.ScheduleReply): void {
   applyAssignments(task, gateway.applyReply(task.state, reply, task.readClocks()));
   task.assign();
 }
 
-/** Takes in what a gateway asks this one's scheduler. */
+/** Handles a message in which another gateway asks the scheduler of this one. */
 function receiveAsk(task: taskState.TaskState, ask: schema.ScheduleAsk): void {
   const now = task.readClocks().steadyMs;
   const changes = gateway.receiveAsk(task.state, ask, now);
@@ -92,7 +92,7 @@
   task.assign();
 }
 
-/** Refuses a request that was not taken in. */
+/** Refuses a request that was not admitted. */
 function refuseArrived(
   task: taskState.TaskState,
   exchange: callerExchange.CallerExchange,
@@ -103,7 +103,7 @@
   callerExchange.sendRefusal(exchange, refusal);
 }
 
-/** Holds a request that was taken in. */
+/** Starts to track a request that was admitted. */
 function hold(
   task: taskState.TaskState,
   exchange: callerExchange.CallerExchange,
@@ -114,13 +114,13 @@
     request,
     exchange,
     attempt: undefined,
-    giveUpTimer: undefined,
+    timeoutTimer: undefined,
     events: isStream ? eventStream.createEventStream() : undefined,
     firstEventMs: undefined,
     done: false,
   };
-  held.giveUpTimer = setTimeout(
-    () => requestEnding.giveUp(task, held),
+  held.timeoutTimer = setTimeout(
+    () => requestEnding.handleTimeout(task, held),
     request.giveUpMs - request.arrivedMs,
   );
   task.held.set(request.serial, held);
@@ -128,31 +128,31 @@
   exchange.response.on('drain', () => held.attempt?.resume());
 }
 
-/** Takes in a request that has been read. */
+/** Handles a request that has been read completely: admits or refuses it. */
 function receive(task: taskState.TaskState, exchange: callerExchange.CallerExchange): void {
-  const names = task.protocol.parseRequest(exchange.headers);
+  const parsed = task.protocol.parseRequest(exchange.headers);
   const host = endToEndHeaders.findHeader(exchange.headers, 'host');
-  if (names === undefined || host === undefined) {
+  if (parsed === undefined || host === undefined) {
     const code = schema.ResultCode.MALFORMED_REQUEST;
     refuseArrived(task, exchange, '', { code, retryAfterMs: undefined });
     return;
   }
   const [path] = exchange.target.split(QUERY_START);
   const hashContent = () => contentDigest.hashContent(exchange);
-  const arrived = { ...names, host, path, hashContent };
-  const intake = gateway.admitRequest(task.state, arrived, task.readClocks());
-  if (intake.kind === 'refused') {
-    refuseArrived(task, exchange, names.attemptId, intake.refusal);
+  const arrived = { ...parsed, host, path, hashContent };
+  const admission = gateway.admitRequest(task.state, arrived, task.readClocks());
+  if (admission.kind === 'refused') {
+    refuseArrived(task, exchange, parsed.attemptId, admission.refusal);
     return;
   }
-  hold(task, exchange, intake.request);
+  hold(task, exchange, admission.request);
   task.assign();
 }
 
-/** Creates the task; it does nothing by time before it is started. */
-export function createGatewayTask(parts: taskState.GatewayTaskParts): GatewayTask {
+/** Creates the task; periodic assignment passes begin once it is started. */
+export function createGatewayTask(dependencies: taskState.GatewayTaskDependencies): GatewayTask {
   const task: taskState.TaskState = {
-    ...parts,
+    ...dependencies,
     held: new Map(),
     idle: undefined,
     assign: () => {},
--- a/packages/gateway/src/held-request.ts
+++ b/packages/gateway/src/held-request.ts
@@ -1,27 +1,30 @@
-/** A request that a gateway task has in hand, with its connections. */
+/**
+ * A request that the gateway is processing, with its connections to the caller and the backend
+ * server.
+ */
 import type * as gateway from '@toucanproxy/core/gateway';
 import type * as backendAttempt from './backend-attempt.js';
 import type * as callerExchange from './caller-exchange.js';
 import type * as eventStream from './event-stream.js';
 import type * as wireProtocol from './wire-protocol.js';
 
-/** The head of a backend server's answer. */
-export type AnswerHead = {
+/** Status and headers of a backend server's response. */
+export type ResponseHead = {
   status: number;
   headers: wireProtocol.RawHeaders;
-  /** It says where it ends, other than by its connection's end. */
-  isFramed: boolean;
+  /** Whether the end of the body is known without the connection being closed. */
+  isSelfDelimited: boolean;
 };
 
 export type HeldRequest = {
   request: gateway.GatewayRequest;
   exchange: callerExchange.CallerExchange;
   attempt: backendAttempt.BackendAttempt | undefined;
-  giveUpTimer: NodeJS.Timeout | undefined;
-  /** Events passed on so far, over all attempts; undefined for other answers. */
+  timeoutTimer: NodeJS.Timeout | undefined;
+  /** Events forwarded so far, over all attempts; undefined on routes that do not stream. */
   events: eventStream.EventStream | undefined;
-  /** Time from arrival to the first event, milliseconds; undefined before it. */
+  /** Time from arrival to the first event, milliseconds; undefined until it arrives. */
   firstEventMs: number | undefined;
-  /** The final answer has been given, or the caller has left. */
+  /** Whether the request needs no further processing: it has its response or the caller is gone. */
   done: boolean;
 };
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,6 @@
-/** The gateway daemon. */
+/**
+ * Public interface of the gateway daemon: how to start it, and what a platform adapter implements.
+ */
 export * from './app.js';
 export * from './gateway-settings.js';
 export * from './store-codec.js';
--- a/packages/gateway/src/own-answer.ts
+++ b/packages/gateway/src/local-response.ts
@@ -1,12 +1,12 @@
-/** Answers that the gateway gives by itself. */
+/** Responses that the gateway generates itself. */
 import type * as gateway from '@toucanproxy/core/gateway';
 import * as runtime from '@toucanproxy/runtime';
 import * as schema from '@toucanproxy/schema';
 
 const MS_PER_SECOND = 1000;
 
-/** Builds the answer to a request that gets none of a backend server. */
-export function buildOwnAnswer({ code, retryAfterMs }: gateway.Refusal): runtime.OwnAnswer {
+/** Builds the response for a request that is refused. */
+export function buildLocalResponse({ code, retryAfterMs }: gateway.Refusal): runtime.OwnAnswer {
   const retryAfter: Record<string, string> =
     retryAfterMs === undefined ? {} : { 'retry-after': String(retryAfterMs / MS_PER_SECOND) };
   return {
--- a/packages/gateway/src/peer-task.test.ts
+++ b/packages/gateway/src/peer-task.test.ts
@@ -7,7 +7,7 @@
 
 const { test } = nodeTest;
 const HOST = '127.0.0.1';
-/** Reports that are looked at after the word that a gateway leaves. */
+/** Number of reports that are checked after the gateway has begun to leave. */
 const REPORTS = 3;
 
 /** Creates the state of a gateway that has just started. */
@@ -21,10 +21,10 @@
   return gateway.createGatewayState(identity, bounds, Math.random, 0);
 }
 
-test('a gateway that leaves is not taken for one that stays', async () => {
-  // A gateway is told to stop and serves on for seconds. It says that it leaves; were its
-  // later reports to say nothing of that, the others would take it for a scheduler again
-  // and wait in vain once it is gone.
+test('every report of a gateway that is leaving says so', async () => {
+  // A gateway that shuts down continues to serve for some seconds and reports that it is leaving.
+  // If its later reports did not repeat this, the other gateways would choose it as a scheduler
+  // again and wait for replies after it is gone.
   const peer = dgram.createSocket('udp4');
   await new Promise<void>((resolve) => {
     peer.bind(0, HOST, resolve);
@@ -36,22 +36,22 @@
     readNow: () => performance.now(),
     reportProblem: (reason) => assert.fail(reason),
   });
-  const told: boolean[] = [];
+  const leaving: boolean[] = [];
   await new Promise<void>((resolve) => {
     peer.on('message', (bytes) => {
       const { content } = schema.fromBinary(schema.PeerMessageSchema, bytes);
       if (content.case === 'report') {
-        told.push(content.value.leaving);
+        leaving.push(content.value.leaving);
       }
-      if (told.length === 1) {
+      if (leaving.length === 1) {
         task.sendLeaving();
       }
-      if (told.length === 1 + REPORTS) {
+      if (leaving.length === 1 + REPORTS) {
         resolve();
       }
     });
   });
   task.stop();
   peer.close();
-  assert.deepEqual(told, [false, true, true, true]);
+  assert.deepEqual(leaving, [false, true, true, true]);
 });
--- a/packages/gateway/src/peer-task.ts
+++ b/packages/gateway/src/peer-task.ts
@@ -1,25 +1,24 @@
 /**
- * The task that owns the socket between gateways: reports of each to the others, and
- * what passes between gateways and schedulers, in datagrams.
+ * The task that owns the UDP socket between gateways. It sends the periodic reports of each gateway
+ * to the others, and the messages between gateways and schedulers.
  *
- * Datagrams may be lost; each report carries totals, so that the next one makes
- * up for it. Nobody waits for an answer, and a gateway that hears nobody serves
- * on by itself.
+ * Datagrams may be lost. Reports carry totals, so the next report makes up for a lost one. Nothing
+ * waits for an acknowledgement, and a gateway that receives no reports continues to serve alone.
  */
 import * as dgram from 'node:dgram';
 import * as gateway from '@toucanproxy/core/gateway';
 import * as schema from '@toucanproxy/schema';
 import type * as gatewaySettings from './gateway-settings.js';
-import * as reportTurns from './report-turns.js';
+import * as reportRounds from './report-rounds.js';
 
 export type PeerTask = {
-  /** Names who takes in what concerns schedulers; before that it is dropped. */
-  passTo: (receiver: ScheduleReceiver) => void;
-  /** Sends what was decided between gateways. */
+  /** Sets the receiver of scheduler messages; until then they are dropped. */
+  setScheduleReceiver: (receiver: ScheduleReceiver) => void;
+  /** Sends ScheduleAsk messages and the replies of the scheduler here. */
   send: (outgoing: readonly gateway.Outgoing[]) => void;
   /**
-   * Tells the others, now and until the process stops, that this gateway is leaving: they
-   * ask another scheduler before it is gone, not a fifth of a second after.
+   * Reports now, and in all later reports, that this gateway is leaving. The other gateways then
+   * ask another scheduler before this one is gone, rather than 200 ms after.
    */
   sendLeaving: () => void;
   stop: () => void;
@@ -33,59 +32,62 @@
   reportProblem: (reason: string) => void;
 };
 
-/** Who takes in what gateways ask each other's schedulers, and what these answer. */
+/** Receiver of ScheduleAsk messages and of the replies of schedulers. */
 export type ScheduleReceiver = {
   receiveAsk: (ask: schema.ScheduleAsk) => void;
   receiveReply: (reply: schema.ScheduleReply) => void;
 };
 
-/** What one report holds at most, so that it fits one datagram of 1,400 bytes. */
+/** Limits for one report, so that it fits in a datagram of 1,400 bytes. */
 const MAX_WORKSPACES = 20;
 const MAX_PEERS = 12;
 const MAX_SUSPECTS = 4;
-/** Peers that a greeting carries; it fits one datagram as well. */
-const MAX_GREETING_PEERS = 40;
-/** A gateway greets those that it hears of for this long after its start, milliseconds. */
-const GREETING_MS = 3000;
+/** Limit of peers per report when all are sent at once; it fits in a datagram as well. */
+const MAX_PEERS_IN_FULL_LIST = 40;
+/** Time after its start for which a gateway sends its peer list to newly learned peers, ms. */
+const NEW_GATEWAY_MS = 3000;
 
 type PeerState = {
   options: PeerTaskOptions;
   socket: dgram.Socket;
   receiver: ScheduleReceiver | undefined;
-  own: string;
+  /** Address of this gateway. */
+  ownAddress: string;
   startedMs: number;
   sequence: number;
-  /** Set once the process is about to stop: no later report says otherwise. */
+  /** Set when the process begins to shut down; all later reports say so. */
   isLeaving: boolean;
-  /** Gateways that were sent a report outside their turn. */
-  greeted: Set<string>;
+  /** Gateways that were sent the whole peer list. */
+  peerListSentTo: Set<string>;
 };
 
-/** Lists everyone that a report may be sent to. */
-function listAddresses({ options, own }: PeerState): string[] {
+/** Lists all addresses that a report may be sent to. */
+function listAddresses({ options, ownAddress }: PeerState): string[] {
   const all = new Set([...options.seeds, ...gateway.listContacts(options.state.peers)]);
-  all.delete(own);
+  all.delete(ownAddress);
   return [...all];
 }
 
-/** Builds the present report, with some of the peers that are heard. */
+/** Builds the current report, with a selection of the reachable peers. */
 function buildReport(
-  { options, own, sequence, isLeaving }: PeerState,
-  turn: number,
+  { options, ownAddress, sequence, isLeaving }: PeerState,
+  round: number,
   peers: string[],
 ): schema.GatewayReport {
   const { state } = options;
   const used = gateway.listUse(state.quotas, Infinity);
   return schema.create(schema.GatewayReportSchema, {
-    address: own,
+    address: ownAddress,
     life: state.life,
     sequence,
     leaving: isLeaving,
-    used: reportTurns.pickInTurn(used, turn, MAX_WORKSPACES).map(({ workspace, used: amount }) => ({
-      workspace,
-      amount,
-    })),
-    suspects: reportTurns.pickInTurn(gateway.listSuspects(state.suspects), turn, MAX_SUSPECTS),
+    used: reportRounds
+      .pickForRound(used, round, MAX_WORKSPACES)
+      .map(({ workspace, used: amount }) => ({
+        workspace,
+        amount,
+      })),
+    suspects: reportRounds.pickForRound(gateway.listSuspects(state.suspects), round, MAX_SUSPECTS),
     peers,
     processorPercent: state.processorPercent,
     configurationVersion: state.index?.configuration.version ?? 0,
@@ -107,62 +109,63 @@
   });
 }
 
-/** Sends what was decided between gateways. */
+/** Sends ScheduleAsk messages and the replies of the scheduler here. */
 function sendOutgoing(peer: PeerState, outgoing: readonly gateway.Outgoing[]): void {
-  outgoing.forEach((one) => {
+  outgoing.forEach((message) => {
     const content =
-      one.kind === 'ask'
-        ? { case: one.kind, value: one.ask }
-        : { case: one.kind, value: one.reply };
-    sendMessage(peer, one.to, content);
+      message.kind === 'ask'
+        ? { case: message.kind, value: message.ask }
+        : { case: message.kind, value: message.reply };
+    sendMessage(peer, message.to, content);
   });
 }
 
-/** Sends a report to some peers in turn. */
+/** Sends a report to the peers of the current round. */
 function sendReport(peer: PeerState): void {
   peer.sequence += 1;
   const { sequence, options } = peer;
   const addresses = listAddresses(peer);
-  const turn = reportTurns.computePartTurn(sequence, addresses.length, gateway.MAX_FAN_OUT);
-  const heard = gateway.listHeard(options.state.peers, options.readNow());
-  const peers = reportTurns.pickInTurn(heard, turn, MAX_PEERS);
-  const content = { case: 'report', value: buildReport(peer, turn, peers) } as const;
-  reportTurns
-    .pickInTurn(addresses, sequence, gateway.MAX_FAN_OUT)
+  const round = reportRounds.computeContentRound(sequence, addresses.length, gateway.MAX_FAN_OUT);
+  const reachable = gateway.listHeard(options.state.peers, options.readNow());
+  const peers = reportRounds.pickForRound(reachable, round, MAX_PEERS);
+  const content = { case: 'report', value: buildReport(peer, round, peers) } as const;
+  reportRounds
+    .pickForRound(addresses, sequence, gateway.MAX_FAN_OUT)
     .forEach((address) => sendMessage(peer, address, content));
 }
 
 /**
- * Tells a gateway that has just started of all that are heard, several datagrams where
- * one is too small, and the others of this one.
+ * Sends the list of all reachable peers to one gateway, in several datagrams if necessary. It is
+ * sent to a gateway that has just started, and by such a gateway to the peers it learns of.
  *
- * Gateways that know different peers take different ones as the scheduler of a cell, and
- * each of these gives all its places out. In turns, a fleet of 68 that was killed as a
- * whole knows itself after some seconds; greeted, after two round trips. These reports
- * carry the number of the last one, since a number tells the age of its sender.
+ * Gateways that know different peers choose different schedulers for the same cell, and each of
+ * those schedulers then grants all places (concurrency slots) of the cell. If 68 gateways are killed and restart
+ * together, they need some seconds to learn of each other through periodic reports, but only two
+ * round trips through these lists. The reports reuse the last sequence number, since receivers
+ * derive the age of the sender from it.
  */
-function greet(peer: PeerState, address: string): void {
+function sendPeerList(peer: PeerState, address: string): void {
   const { state, readNow } = peer.options;
-  peer.greeted.add(address);
-  const heard = gateway.listHeard(state.peers, readNow());
+  peer.peerListSentTo.add(address);
+  const reachable = gateway.listHeard(state.peers, readNow());
   do {
-    const peers = heard.splice(0, MAX_GREETING_PEERS);
+    const peers = reachable.splice(0, MAX_PEERS_IN_FULL_LIST);
     const content = { case: 'report', value: buildReport(peer, 0, peers) } as const;
     sendMessage(peer, address, content);
-  } while (heard.length > 0);
+  } while (reachable.length > 0);
 }
 
-/** Greets gateways that were only heard of, while this one is young. */
-function greetHeardOf(peer: PeerState, addresses: readonly string[]): void {
-  const isYoung = peer.options.readNow() - peer.startedMs < GREETING_MS;
-  if (isYoung) {
+/** Sends the peer list to gateways that this one has only learned of, while it has just started. */
+function sendPeerListToNew(peer: PeerState, addresses: readonly string[]): void {
+  const isNew = peer.options.readNow() - peer.startedMs < NEW_GATEWAY_MS;
+  if (isNew) {
     addresses
-      .filter((one) => one !== peer.own && !peer.greeted.has(one))
-      .forEach((one) => greet(peer, one));
+      .filter((address) => address !== peer.ownAddress && !peer.peerListSentTo.has(address))
+      .forEach((address) => sendPeerList(peer, address));
   }
 }
 
-/** Takes in a report; charges quotas with what the sender has admitted. */
+/** Applies a report; charges quotas with what the sender has admitted. */
 function receiveReport(peer: PeerState, received: schema.GatewayReport): void {
   const { state, readNow } = peer.options;
   const { address, life, sequence, leaving, used, peers, suspects } = received;
@@ -172,26 +175,26 @@
     life,
     sequence,
     leaving,
-    used: new Map(used.map((one) => [one.workspace, one.amount])),
+    used: new Map(used.map((use) => [use.workspace, use.amount])),
     processorPercent: received.processorPercent,
     configurationVersion: received.configurationVersion,
     peers,
   };
-  const isNewcomer = !leaving && !gateway.isKnownLife(state.peers, address, life);
+  const isNewLife = !leaving && !gateway.isKnownLife(state.peers, address, life);
   gateway
     .applyReport(state.peers, report, now)
     .forEach(({ workspace, amount }) => gateway.applyPeerUse(state.quotas, workspace, amount, now));
   gateway.mergeSuspects(state.suspects, suspects, Date.now());
   peers
-    .filter((one) => one !== peer.own)
-    .forEach((one) => gateway.addHearsay(state.peers, one, now));
-  if (isNewcomer) {
-    greet(peer, address);
+    .filter((indirect) => indirect !== peer.ownAddress)
+    .forEach((indirect) => gateway.addHearsay(state.peers, indirect, now));
+  if (isNewLife) {
+    sendPeerList(peer, address);
   }
-  greetHeardOf(peer, peers);
+  sendPeerListToNew(peer, peers);
 }
 
-/** Takes in one datagram. */
+/** Handles one datagram. */
 function receiveMessage(peer: PeerState, bytes: Uint8Array): void {
   const { content } = schema.fromBinary(schema.PeerMessageSchema, bytes);
   switch (content.case) {
@@ -205,11 +208,11 @@
       peer.receiver?.receiveReply(content.value);
       return;
     default:
-      peer.options.reportProblem('empty message');
+      peer.options.reportProblem('message without content');
   }
 }
 
-/** Starts to exchange datagrams. */
+/** Opens the socket and starts sending periodic reports. */
 export function startPeerTask(options: PeerTaskOptions): PeerTask {
   const { host, port } = options.listen;
   const socket = dgram.createSocket('udp4');
@@ -217,11 +220,11 @@
     options,
     socket,
     receiver: undefined,
-    own: options.state.address,
+    ownAddress: options.state.address,
     startedMs: options.readNow(),
     sequence: 0,
     isLeaving: false,
-    greeted: new Set(),
+    peerListSentTo: new Set(),
   };
   socket.on('error', (error) => options.reportProblem(error.message));
   socket.on('message', (bytes) => {
@@ -231,14 +234,14 @@
       options.reportProblem((error as Error).message);
     }
   });
-  socket.bind(port, host, () => greetHeardOf(peer, options.seeds));
+  socket.bind(port, host, () => sendPeerListToNew(peer, options.seeds));
   const timer = setInterval(() => {
     gateway.expirePeers(options.state.peers, options.readNow());
     gateway.expireSuspects(options.state.suspects, Date.now());
     sendReport(peer);
   }, gateway.REPORT_MS);
   return {
-    passTo: (receiver) => {
+    setScheduleReceiver: (receiver) => {
       peer.receiver = receiver;
     },
     send: (outgoing) => sendOutgoing(peer, outgoing),
--- a/packages/gateway/src/request-reports.ts
+++ b/packages/gateway/src/request-reports.ts
@@ -1,4 +1,4 @@
-/** Log lines and counts of what happens to requests. */
+/** Writes log lines and metrics for what happens to requests. */
 import * as gateway from '@toucanproxy/core/gateway';
 import * as schema from '@toucanproxy/schema';
 import type * as callerExchange from './caller-exchange.js';
@@ -7,16 +7,16 @@
 import type * as gatewayMetrics from './gateway-metrics.js';
 import type * as heldRequest from './held-request.js';
 
-export type ReportParts = {
+export type ReportDependencies = {
   state: gateway.GatewayState;
   readClocks: clocks.ReadClocks;
   log: decisionLog.DecisionLog;
   metrics: gatewayMetrics.GatewayMetrics;
 };
 
-/** Tells that a request was refused on arrival, and what that was decided from. */
+/** Reports that a request was refused on arrival, with the state that the decision was based on. */
 export function reportRefused(
-  { state, readClocks, log, metrics }: ReportParts,
+  { state, readClocks, log, metrics }: ReportDependencies,
   exchange: callerExchange.CallerExchange,
   attemptId: string,
   { code, retryAfterMs, quota }: gateway.Refusal,
@@ -36,9 +36,9 @@
   metrics.recordEnd('', '', code, false);
 }
 
-/** Tells that a request was sent, and which gateway scheduled it. */
+/** Reports that a request was sent, and which gateway scheduled it. */
 export function reportSent(
-  { log }: ReportParts,
+  { log }: ReportDependencies,
   { request }: heldRequest.HeldRequest,
   server: gateway.BackendServerEntry,
   scheduler: string,
@@ -60,9 +60,11 @@
   log.write('sent', line, sentMs);
 }
 
-/** Tells that a request could not be sent where it was granted a place. */
+/**
+ * Reports that a grant was not used because the request could not be sent to that backend server.
+ */
 export function reportUnused(
-  { readClocks, log }: ReportParts,
+  { readClocks, log }: ReportDependencies,
   { request, serverId, reason }: Extract<gateway.Assignment, { kind: 'waitOn' }>,
 ): void {
   const { arrived, cell } = request;
@@ -70,9 +72,9 @@
   log.write('grant-unused', line, readClocks().steadyMs);
 }
 
-/** Tells what this gateway decided as the scheduler of a cell. */
+/** Reports what this gateway decided as the scheduler of a cell. */
 export function reportScheduled(
-  { readClocks, log }: ReportParts,
+  { readClocks, log }: ReportDependencies,
   notes: readonly gateway.SchedulingNote[],
 ): void {
   if (notes.length === 0) {
@@ -90,11 +92,16 @@
       waitMs: Math.round(now - arrivedMs),
       targetLeftMs: Math.round(targetMs - now),
       queued,
-      // Id, requests there, and slowness in hundredths: the chosen one, then the next two.
-      weighed: weighed.map((one) => [one.id, one.inFlight, Math.round(one.slowness * 100)]),
+      // Id, requests in flight and slowness in percent: of the chosen backend server, then of the
+      // next two candidates.
+      weighed: weighed.map((server) => [
+        server.id,
+        server.inFlight,
+        Math.round(server.slowness * 100),
+      ]),
       leftOut,
       full,
-      // Backend servers that warm up and may not be given a request yet.
+      // Backend servers that are warming up and cannot be given a request yet.
       heldBack,
     };
     log.write(kind, line, now);
@@ -108,9 +115,9 @@
   verdict: gateway.AttemptVerdict['kind'];
 };
 
-/** Tells that an attempt failed, and what was decided on that. */
+/** Reports that an attempt failed, and what was decided as a result. */
 export function reportFault(
-  { log, metrics }: ReportParts,
+  { log, metrics }: ReportDependencies,
   { request, exchange }: heldRequest.HeldRequest,
   { serverId, ...fields }: FaultFields,
   now: number,
@@ -122,17 +129,20 @@
   metrics.recordFault(service, fields.fault);
 }
 
-/** Tells which content is suspect after a backend server has crashed. */
-export function reportSuspects({ state, log }: ReportParts, server: string | undefined): void {
+/** Reports which content is suspect after a backend server has crashed. */
+export function reportSuspects(
+  { state, log }: ReportDependencies,
+  server: string | undefined,
+): void {
   const suspects = [...state.suspects.byDigest.values()]
     .filter(({ crashes }) => crashes > 0)
     .map(({ contentDigest, crashes }) => ({ contentDigest, crashes }));
   log.writeAlways('content-suspect', { server, suspects });
 }
 
-/** Tells how a request ended. */
+/** Reports how a request ended. */
 export function reportEnd(
-  { readClocks, log, metrics }: ReportParts,
+  { readClocks, log, metrics }: ReportDependencies,
   { request, firstEventMs }: heldRequest.HeldRequest,
   code: schema.ResultCode,
   fields: Record<string, unknown>,
--- /dev/null
+++ b/packages/gateway/src/response-relay.ts
@@ -0,0 +1,262 @@
+/**
+ * Forwards the response of a backend server to the caller.
+ *
+ * A response that is not a stream is buffered until it is complete, so that after a truncated one
+ * the request can still be retried or refused. A stream is forwarded as it arrives; if it can be
+ * resumed, only complete events are forwarded.
+ */
+import * as gateway from '@toucanproxy/core/gateway';
+import type * as backendAttempt from './backend-attempt.js';
+import * as callerExchange from './caller-exchange.js';
+import * as endToEndHeaders from './end-to-end-headers.js';
+import * as eventStream from './event-stream.js';
+import type * as heldRequest from './held-request.js';
+import type * as wireProtocol from './wire-protocol.js';
+
+/** How an attempt ended. */
+export type AttemptOutcome =
+  | { kind: 'complete'; status: number }
+  | {
+      kind: 'fault';
+      fault: gateway.AttemptFault;
+      reason: string;
+      /** The complete error response of the backend server, if it sent one. */
+      failure: (heldRequest.ResponseHead & { body: Buffer }) | undefined;
+    };
+
+type RelayOptions = {
+  held: heldRequest.HeldRequest;
+  protocol: wireProtocol.WireProtocol;
+  readNow: () => number;
+  /** Called once, when the attempt ends by itself; not called after an abort. */
+  settle: (outcome: AttemptOutcome) => void;
+  /**
+   * Called with the time that a unit of work took, milliseconds. A unit is one event of a stream or
+   * a complete response.
+   */
+  observeUnitTime: (unitMs: number) => void;
+  /** Called with the time from sending to the first event, milliseconds. */
+  observeFirstEvent: (ms: number) => void;
+  /** Whether the request may still be sent now that its connection is open. */
+  canSend: () => boolean;
+  /** Called for each response that comes from the intended backend server. */
+  observeStatements: (parsed: wireProtocol.AnswerNames) => void;
+};
+
+type Relay = {
+  options: RelayOptions;
+  head: heldRequest.ResponseHead | undefined;
+  isStream: boolean;
+  /** Body of a response that is buffered until it is complete. */
+  chunks: Buffer[];
+  bufferedBytes: number;
+  /** When the current sample of the time between events began. */
+  sampleStartMs: number;
+  /** Events counted in the current sample; 0 before the first event. */
+  events: number;
+};
+
+/** Responses up to this size are buffered until they are complete, bytes. */
+const MAX_BUFFERED_BYTES = 1_048_576;
+/** Number of events over which the time between events is averaged. */
+const SAMPLE_EVENTS = 8;
+const MIN_SERVER_ERROR = 500;
+const MAX_SUCCESS = 299;
+
+/** Ends an attempt with a fault. */
+function endWithFault(relay: Relay, fault: gateway.AttemptFault, reason: string): void {
+  relay.options.settle({ kind: 'fault', fault, reason, failure: undefined });
+}
+
+/** Finds the fault that the status and headers of a response show. */
+function findHeadFault(
+  { options }: Relay,
+  head: heldRequest.ResponseHead,
+  parsed: wireProtocol.AnswerNames,
+  isNewConnection: boolean,
+): { fault: gateway.AttemptFault; reason: string } | undefined {
+  const { attemptId } = options.held.request.arrived;
+  const isSameRequest = parsed.attemptId === attemptId;
+  const notRun = parsed.isNotRun || parsed.isMisdirected;
+  // A refusal by a backend server may lack the id. On a new connection it cannot belong to another
+  // request.
+  if (!isSameRequest && !(parsed.attemptId === undefined && notRun && isNewConnection)) {
+    return { fault: gateway.AttemptFault.BROKEN, reason: 'other-request' };
+  }
+  if (parsed.isMisdirected) {
+    return { fault: gateway.AttemptFault.MISDIRECTED, reason: 'misdirected' };
+  }
+  if (parsed.isNotRun) {
+    return { fault: gateway.AttemptFault.REFUSED, reason: String(head.status) };
+  }
+  const isSuccess = head.status <= MAX_SUCCESS;
+  const isEncoded = endToEndHeaders.findHeader(head.headers, 'content-encoding') !== undefined;
+  return isSuccess && (!parsed.isSigned || isEncoded)
+    ? { fault: gateway.AttemptFault.BROKEN, reason: 'not-the-servers' }
+    : undefined;
+}
+
+/**
+ * Returns whether a response comes from the intended backend server. A refusal without an id may
+ * belong to an earlier request on the connection. It then does not count as the response to this
+ * request, but what it states about the backend server is still valid.
+ */
+function isFromServer(
+  { attemptId, isNotRun, isMisdirected }: wireProtocol.AnswerNames,
+  fault: gateway.AttemptFault | undefined,
+): boolean {
+  const isPlainRefusal = attemptId === undefined && isNotRun && !isMisdirected;
+  return fault === undefined || fault === gateway.AttemptFault.REFUSED || isPlainRefusal;
+}
+
+/** Handles the status and headers of a response; returns false if the attempt has ended. */
+function handleHead(
+  relay: Relay,
+  head: heldRequest.ResponseHead,
+  isNewConnection: boolean,
+): boolean {
+  const parsed = relay.options.protocol.parseAnswer(head.status, head.headers);
+  const found = findHeadFault(relay, head, parsed, isNewConnection);
+  if (isFromServer(parsed, found?.fault)) {
+    relay.options.observeStatements(parsed);
+  }
+  if (found !== undefined) {
+    endWithFault(relay, found.fault, found.reason);
+    return false;
+  }
+  const { held } = relay.options;
+  const isStream = held.events !== undefined && head.status <= MAX_SUCCESS;
+  if (held.exchange.response.headersSent && !isStream) {
+    endWithFault(relay, gateway.AttemptFault.FAILED, `resumed-${head.status}`);
+    return false;
+  }
+  relay.head = { ...head, headers: endToEndHeaders.listEndToEnd(head.headers) };
+  relay.isStream = isStream;
+  return true;
+}
+
+/** Starts the response to the caller unless it has been started already. */
+function startResponseOnce(relay: Relay): void {
+  const { exchange } = relay.options.held;
+  if (relay.head !== undefined && !exchange.response.headersSent) {
+    callerExchange.startResponse(exchange, relay.head);
+  }
+}
+
+/** Counts events and reports the time to the first one and the average time between later ones. */
+function recordEvents(relay: Relay, count: number): void {
+  const now = relay.options.readNow();
+  if (relay.events === 0) {
+    relay.sampleStartMs = now;
+    relay.events = count;
+    relay.options.observeFirstEvent(now - relay.options.held.request.sentMs);
+    return;
+  }
+  relay.events += count;
+  if (relay.events > SAMPLE_EVENTS) {
+    relay.options.observeUnitTime((now - relay.sampleStartMs) / relay.events);
+    relay.sampleStartMs = now;
+    relay.events = 1;
+  }
+}
+
+/** Forwards a chunk of a stream; returns false if the caller reads too slowly. */
+function forwardStreamChunk(relay: Relay, chunk: Buffer): boolean {
+  const { held } = relay.options;
+  const events = held.events as eventStream.EventStream;
+  const resumable = held.request.repeatable;
+  const bytes = resumable ? eventStream.pushChunk(events, chunk) : chunk;
+  if (bytes.length === 0) {
+    return true;
+  }
+  recordEvents(relay, Math.max(eventStream.countEventEnds(bytes), 1));
+  startResponseOnce(relay);
+  return held.exchange.response.write(bytes);
+}
+
+/** Handles a chunk of a response body; returns false if the caller reads too slowly. */
+function handleBodyChunk(relay: Relay, chunk: Buffer): boolean {
+  const { exchange } = relay.options.held;
+  if (relay.isStream) {
+    return forwardStreamChunk(relay, chunk);
+  }
+  if (exchange.response.headersSent) {
+    return exchange.response.write(chunk);
+  }
+  relay.chunks.push(chunk);
+  relay.bufferedBytes += chunk.length;
+  if (relay.bufferedBytes <= MAX_BUFFERED_BYTES) {
+    return true;
+  }
+  startResponseOnce(relay);
+  return exchange.response.write(Buffer.concat(relay.chunks.splice(0)));
+}
+
+/** Handles the end of a stream. */
+function endStream(relay: Relay): void {
+  const { held, settle } = relay.options;
+  const isMidEvent = held.request.repeatable && (held.events?.pending.length ?? 0) > 0;
+  if (isMidEvent) {
+    endWithFault(relay, gateway.AttemptFault.BROKEN, 'ended-in-event');
+    return;
+  }
+  startResponseOnce(relay);
+  if (relay.head?.isSelfDelimited === false && held.exchange.response.useChunkedEncodingByDefault) {
+    // An earlier attempt started this response with chunked coding. Ending it would mark it as
+    // complete, but a body that ends with its connection may be truncated.
+    endWithFault(relay, gateway.AttemptFault.BROKEN, 'ended-without-length');
+    return;
+  }
+  held.exchange.response.end();
+  settle({ kind: 'complete', status: relay.head?.status ?? 0 });
+}
+
+/** Handles the end of a buffered response; a server error is reported as a fault with its body. */
+function endBuffered(relay: Relay): void {
+  const { held, settle, readNow, observeUnitTime } = relay.options;
+  const head = relay.head as heldRequest.ResponseHead;
+  if (held.exchange.response.headersSent) {
+    held.exchange.response.end();
+    settle({ kind: 'complete', status: head.status });
+    return;
+  }
+  const body = Buffer.concat(relay.chunks);
+  if (head.status >= MIN_SERVER_ERROR) {
+    const failure = { ...head, body };
+    const reason = String(head.status);
+    settle({ kind: 'fault', fault: gateway.AttemptFault.FAILED, reason, failure });
+    return;
+  }
+  if (held.events === undefined) {
+    observeUnitTime(readNow() - held.request.sentMs);
+  }
+  callerExchange.sendResponse(held.exchange, head, body);
+  settle({ kind: 'complete', status: head.status });
+}
+
+/** Creates the listener that relays the response of one attempt. */
+export function createRelay(options: RelayOptions): backendAttempt.AttemptListener {
+  const relay: Relay = {
+    options,
+    head: undefined,
+    isStream: false,
+    chunks: [],
+    bufferedBytes: 0,
+    sampleStartMs: 0,
+    events: 0,
+  };
+  return {
+    onHead: (status, headers, isNewConnection) => {
+      const isSelfDelimited = endToEndHeaders.isSelfDelimited(status, headers);
+      return handleHead(relay, { status, headers, isSelfDelimited }, isNewConnection);
+    },
+    onData: (chunk) => handleBodyChunk(relay, chunk),
+    canSend: options.canSend,
+    onWithdrawn: () => endWithFault(relay, gateway.AttemptFault.WITHDRAWN, 'not-to-be-used'),
+    onEnd: () => (relay.isStream ? endStream(relay) : endBuffered(relay)),
+    onBroken: (reason, mayHaveBeenSent) => {
+      const { BROKEN, UNREACHABLE } = gateway.AttemptFault;
+      endWithFault(relay, mayHaveBeenSent ? BROKEN : UNREACHABLE, reason);
+    },
+  };
+}
--- a/packages/gateway/src/server-items.ts
+++ b/packages/gateway/src/server-items.ts
@@ -1,4 +1,4 @@
-/** Takes the entries of backend servers from the store in. */
+/** Applies the store entries of backend servers. */
 import * as gateway from '@toucanproxy/core/gateway';
 import type * as backendConnections from './backend-connections.js';
 import type * as clocks from './clocks.js';
@@ -6,7 +6,7 @@
 import type * as gatewaySettings from './gateway-settings.js';
 import type * as storeCodec from './store-codec.js';
 
-export type ServerParts = {
+export type ServerDependencies = {
   state: gateway.GatewayState;
   settings: gatewaySettings.GatewaySettings;
   codec: storeCodec.StoreCodec;
@@ -15,17 +15,17 @@
   connections: backendConnections.BackendConnections;
 };
 
-/** Lists those of some items that are entries of backend servers. */
+/** Filters the items that are entries of backend servers. */
 function listEntries(
-  { settings }: ServerParts,
+  { settings }: ServerDependencies,
   items: readonly storeCodec.StoreItem[],
 ): storeCodec.StoreItem[] {
   return items.filter(({ key }) => key.startsWith(settings.serversPrefix));
 }
 
-/** Takes one entry in. */
+/** Applies one changed entry; an item without a valid entry removes the backend server. */
 function applyItem(
-  { state, codec, readClocks }: ServerParts,
+  { state, codec, readClocks }: ServerDependencies,
   item: storeCodec.StoreItem,
 ): gateway.MembershipChange | undefined {
   const entry = item.value && codec.decodeBackendServer(item);
@@ -34,18 +34,18 @@
     : gateway.applyEntry(state.servers, entry, readClocks().steadyMs);
 }
 
-/** Logs changes and brings connections in line. */
+/** Logs changes, expires missing entries, handles crashes and closes unused connections. */
 function applyMembership(
-  parts: ServerParts,
+  dependencies: ServerDependencies,
   changes: (gateway.MembershipChange | undefined)[],
 ): void {
-  const { state, log, connections, readClocks } = parts;
-  const real = changes.filter((change) => change !== undefined);
-  real.forEach((change) => log.writeAlways('backend-server', change));
+  const { state, log, connections, readClocks } = dependencies;
+  const actual = changes.filter((change) => change !== undefined);
+  actual.forEach((change) => log.writeAlways('backend-server', change));
   const now = readClocks().steadyMs;
   const expired = gateway.expireMissing(state.servers, now);
   expired.forEach((change) => log.writeAlways('backend-server', change));
-  [...real, ...expired]
+  [...actual, ...expired]
     .filter(({ change }) => change === 'restarted' || change === 'gone')
     .forEach(({ id }) => {
       gateway.forgetServer(state, id);
@@ -54,32 +54,35 @@
         log.writeAlways('content-suspect', { server: id, suspects });
       }
     });
-  if (real.length + expired.length > 0) {
-    const known = [...state.servers.byId.values()].map(({ entry }) => entry.address);
-    connections.closeOthers(new Set(known));
+  if (actual.length + expired.length > 0) {
+    const addresses = [...state.servers.byId.values()].map(({ entry }) => entry.address);
+    connections.closeOthers(new Set(addresses));
   }
 }
 
-/** Takes in all entries of the store; those that are not among them are gone. */
+/** Applies the complete list of entries; backend servers that are not in it count as missing. */
 export function applyAllServers(
-  parts: ServerParts,
+  dependencies: ServerDependencies,
   items: readonly storeCodec.StoreItem[],
   revision: gateway.StoreRevision,
 ): void {
-  const entries = listEntries(parts, items)
-    .map((item) => parts.codec.decodeBackendServer(item))
+  const entries = listEntries(dependencies, items)
+    .map((item) => dependencies.codec.decodeBackendServer(item))
     .filter((entry) => entry !== undefined);
-  const now = parts.readClocks().steadyMs;
-  applyMembership(parts, gateway.applySnapshot(parts.state.servers, entries, revision, now));
+  const now = dependencies.readClocks().steadyMs;
+  applyMembership(
+    dependencies,
+    gateway.applySnapshot(dependencies.state.servers, entries, revision, now),
+  );
 }
 
-/** Takes in the entries that have changed. */
+/** Applies the entries that have changed. */
 export function applyServerChanges(
-  parts: ServerParts,
+  dependencies: ServerDependencies,
   items: readonly storeCodec.StoreItem[],
   revision: gateway.StoreRevision,
 ): void {
-  const changes = listEntries(parts, items).map((item) => applyItem(parts, item));
-  gateway.noteRead(parts.state.servers, revision);
-  applyMembership(parts, changes);
+  const changes = listEntries(dependencies, items).map((item) => applyItem(dependencies, item));
+  gateway.noteRead(dependencies.state.servers, revision);
+  applyMembership(dependencies, changes);
 }
--- a/packages/gateway/src/shutdown.ts
+++ b/packages/gateway/src/shutdown.ts
@@ -1,4 +1,4 @@
-/** Stops a gateway without cutting a request. */
+/** Graceful shutdown: stops a gateway without aborting requests in progress. */
 import type * as gateway from '@toucanproxy/core/gateway';
 import type * as callerServer from './caller-server.js';
 import * as clocks from './clocks.js';
@@ -7,7 +7,7 @@
 import type * as gatewayTask from './gateway-task.js';
 import type * as peerTask from './peer-task.js';
 
-type ShutdownParts = {
+type ShutdownDependencies = {
   state: gateway.GatewayState;
   settings: gatewaySettings.GatewaySettings;
   callers: callerServer.CallerServer;
@@ -18,32 +18,32 @@
 };
 
 /**
- * Time in which new connections are still taken, milliseconds. The balancer asks
- * once a second and needs two misses; callers that it sends before would
- * otherwise meet a closed port.
+ * Time for which new connections are still accepted, milliseconds. The load balancer checks
+ * readiness once a second and needs two failed checks; until then it still sends callers, which
+ * would otherwise find a closed port.
  */
-const LINGER_MS = 3500;
-/** What is left of the grace time for the last bytes to leave, milliseconds. */
-const LAST_BYTES_MS = 400;
+const ACCEPT_AFTER_SHUTDOWN_MS = 3500;
+/** Part of the grace period that is reserved for sending the last bytes, milliseconds. */
+const FLUSH_MS = 400;
 
 /** Begins a graceful shutdown; `stopped` is called at its end. */
-export function beginShutdown(parts: ShutdownParts): void {
-  const { state, settings, callers, task, peers, log, stopped } = parts;
+export function beginShutdown(dependencies: ShutdownDependencies): void {
+  const { state, settings, callers, task, peers, log, stopped } = dependencies;
   state.shutdownMs = clocks.readSteadyMs();
   log.writeAlways('shutdown', { held: task.countHeld() });
   callers.beginShutdown();
   peers.sendLeaving();
-  let ended = false;
+  let isEnded = false;
   const end = () => {
-    if (!ended) {
-      ended = true;
+    if (!isEnded) {
+      isEnded = true;
       log.writeAlways('stopped', { held: task.countHeld() });
       stopped();
     }
   };
   setTimeout(() => {
     callers.stopListening();
-    task.notifyIdle(() => setTimeout(end, LAST_BYTES_MS / 2));
-  }, LINGER_MS);
-  setTimeout(end, settings.stopMs - LAST_BYTES_MS);
+    task.notifyIdle(() => setTimeout(end, FLUSH_MS / 2));
+  }, ACCEPT_AFTER_SHUTDOWN_MS);
+  setTimeout(end, settings.stopMs - FLUSH_MS);
 }
--- a/packages/gateway/src/statement-reports.ts
+++ b/packages/gateway/src/statement-reports.ts
@@ -1,20 +1,21 @@
-/** Takes in what answers state about their backend servers, and logs what is news. */
+/** Applies what responses state about their backend servers, and logs the changes. */
 import * as gateway from '@toucanproxy/core/gateway';
 import * as schema from '@toucanproxy/schema';
 import type * as clocks from './clocks.js';
 import type * as decisionLog from './decision-log.js';
 import type * as wireProtocol from './wire-protocol.js';
 
-export type StatementParts = {
+export type StatementDependencies = {
   state: gateway.GatewayState;
   readClocks: clocks.ReadClocks;
   log: decisionLog.DecisionLog;
 };
 
 /**
- * Tells what has become known of backend servers.
+ * Logs changes in what backend servers state.
  *
- * @param from address of the gateway that told; undefined for an answer to this one
+ * @param from address of the gateway that passed the statement on; undefined if it came in a
+ *   response to this gateway
  */
 export function reportStatements(
   log: decisionLog.DecisionLog,
@@ -25,21 +26,21 @@
   changes.forEach((change) => log.write('server-statement', { ...change, from }, now));
 }
 
-/** Gets a value where an answer states one. */
+/** Returns the value if the response states one. */
 function getStated<T>(value: wireProtocol.StatedValue<T>): T | undefined {
   return value.kind === 'stated' ? value.value : undefined;
 }
 
-/** Takes in what one answer states; what cannot be read changes nothing. */
-export function takeStatements(
-  { state, readClocks, log }: StatementParts,
+/** Applies what one response states; values that cannot be parsed are logged and ignored. */
+export function applyStatements(
+  { state, readClocks, log }: StatementDependencies,
   request: gateway.GatewayRequest,
   { leaving, backoffMs, perSecond, isSigned }: wireProtocol.AnswerNames,
 ): void {
   const now = readClocks().steadyMs;
   const code = schema.ResultCode.SERVER_STATEMENT_FAULT;
   [leaving, backoffMs, perSecond]
-    .filter((one) => one.kind === 'unreadable')
+    .filter((value) => value.kind === 'unreadable')
     .forEach(({ text }) => {
       const line = { server: request.serverId, found: text, code, result: schema.ResultCode[code] };
       log.write('server-statement-faulty', line, now);
@@ -48,7 +49,8 @@
     isLeaving: leaving.kind === 'stated',
     backoffMs: getStated(backoffMs),
     perSecond: getStated(perSecond),
-    // A limit that cannot be read is not lifted by that.
+    // A signed response without a rate limit can lift the limit; one with an unreadable limit must
+    // not.
     isSigned: isSigned && perSecond.kind !== 'unreadable',
   };
   const changes = gateway.noteAnswerStatement(state, request, statement, now);
--- a/packages/gateway/src/status.ts
+++ b/packages/gateway/src/status.ts
@@ -1,9 +1,9 @@
-/** What a gateway tells operators of its present state. */
+/** Describes the current state of a gateway for operators. */
 import * as gateway from '@toucanproxy/core/gateway';
 import type * as storeFollower from './store-follower.js';
 import * as unknownNames from './unknown-names.js';
 
-/** Describes who schedules which cell, and what this gateway schedules itself. */
+/** Describes the cells: which gateway schedules each, and the queue of those scheduled here. */
 function describeCells(state: gateway.GatewayState): Record<string, unknown>[] {
   return [...state.links.values()].map(({ cell, address, asks, places, load }) => ({
     cell,
@@ -15,7 +15,7 @@
   }));
 }
 
-/** Describes the backend servers that warm up, and how much longer. */
+/** Describes the backend servers that are warming up and the time left for each. */
 function describeWarming(
   { servers, index }: gateway.GatewayState,
   now: number,
@@ -24,7 +24,7 @@
   return [...warming].map(([id, untilMs]) => ({ id, warmUpLeftMs: Math.round(untilMs - now) }));
 }
 
-/** Describes what backend servers have stated in their answers. */
+/** Describes what backend servers have stated in their responses. */
 function describeStatements(
   { servers }: gateway.GatewayState,
   now: number,
@@ -37,17 +37,17 @@
   }));
 }
 
-/** Describes a gateway. */
+/** Describes the state of a gateway. */
 export function describeStatus(
   state: gateway.GatewayState,
-  storeLink: storeFollower.StoreLink,
+  storeStatus: storeFollower.StoreStatus,
   unknown: unknownNames.UnknownNames,
   now: gateway.ClockReading,
 ): Record<string, unknown> {
   return {
     version: state.index?.configuration.version,
     beliefAgeMs: gateway.computeAge(state.belief, now),
-    storeLost: storeLink.isLost,
+    storeLost: storeStatus.isLost,
     storeBehind: state.belief.behindSinceMs !== undefined,
     storeRevision: state.servers.readRevision,
     requestsHeld: state.requests.size,
--- a/packages/gateway/src/store-client.ts
+++ b/packages/gateway/src/store-client.ts
@@ -1,33 +1,33 @@
-/** The one client of the platform's store: calls with a bound on their time. */
+/** HTTP client for the platform's store; every call has a timeout. */
 import * as undici from 'undici';
 import type * as gatewaySettings from './gateway-settings.js';
 
-export type StoreAnswer = {
+export type StoreResponse = {
   status: number;
-  /** By name in lower case; the first value of each. */
+  /** First value of each header, by its name in lower case. */
   headers: ReadonlyMap<string, string>;
   body: string;
 };
 
 export type StoreClient = {
-  /** Calls the store; fails where it does not answer within the time. */
-  call: (path: string, timeoutMs: number) => Promise<StoreAnswer>;
+  /** Calls the store; fails if the response does not arrive within the timeout. */
+  call: (path: string, timeoutMs: number) => Promise<StoreResponse>;
   stop: () => void;
 };
 
-/** Longest time to connect, milliseconds. */
+/** Timeout for connecting, milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Gets the first value of a header. */
-function toFirst(value: string | string[] | undefined): string {
+/** Returns the first value of a header; an empty string if it has none. */
+function toFirstValue(value: string | string[] | undefined): string {
   return (Array.isArray(value) ? value[0] : value) ?? '';
 }
 
 /**
  * Creates a client with one connection.
  *
- * A connection may fall silent for good while new ones work. So a call that
- * fails for whatever reason takes its connection with it.
+ * A connection may stop responding permanently while new connections work. Therefore any failed
+ * call closes its connection, and the next call opens a new one.
  */
 export function createStoreClient(store: gatewaySettings.ListenAddress): StoreClient {
   const open = () =>
@@ -44,7 +44,7 @@
       try {
         const response = await used.request({ path, method: 'GET' });
         const headers = new Map(
-          Object.entries(response.headers).map(([name, value]) => [name, toFirst(value)]),
+          Object.entries(response.headers).map(([name, value]) => [name, toFirstValue(value)]),
         );
         return { status: response.statusCode, headers, body: await response.body.text() };
       } catch (error) {
--- a/packages/gateway/src/store-codec.ts
+++ b/packages/gateway/src/store-codec.ts
@@ -1,44 +1,44 @@
-/** What the adapter of a platform translates between its store and this product. */
+/** Interface that a platform adapter implements to translate between its store and the gateway. */
 import type * as gateway from '@toucanproxy/core/gateway';
 import type * as unknownNames from './unknown-names.js';
 
-/** An item of the store; `value` is undefined where it was deleted. */
+/** An item of the store; `value` is undefined if the item was deleted. */
 export type StoreItem = {
   key: string;
   value: Buffer | undefined;
-  /** When it was written or deleted, in the epoch of the answer that tells it. */
+  /** Revision at which it was written or deleted, in the epoch of the response that contains it. */
   revision: gateway.StoreRevision;
 };
 
-/** Some items, and the store's revision at that time. */
+/** One page of a list of items, and the store's revision when the page was read. */
 export type StorePage = { items: StoreItem[]; isLast: boolean; revision: gateway.StoreRevision };
 
-/** What has changed up to a revision. */
+/** Items that have changed, up to and including `revision`. */
 export type StoreChanges = { items: StoreItem[]; revision: gateway.StoreRevision };
 
-/** What an answer says of the store's epoch. */
+/** The store's epoch as given by the headers of a response. */
 export type AnswerEpoch =
   { kind: 'none' } | { kind: 'told'; epoch: number } | { kind: 'unreadable'; text: string };
 
 export type StoreCodec = {
-  /** Path of a call for the items under a prefix, after a key where there is one. */
+  /** Builds the path that lists the items under a prefix, starting after a key if one is given. */
   buildRangePath: (prefix: string, afterKey: string | undefined) => string;
-  /** Path of a call that waits for changes under a prefix after a revision. */
+  /** Builds the path that waits for changes under a prefix after a revision. */
   buildWatchPath: (prefix: string, revision: gateway.StoreRevision, waitMs: number) => string;
-  /** Reads the epoch from the headers of an answer. */
+  /** Parses the epoch from the headers of a response. */
   parseEpoch: (headers: ReadonlyMap<string, string>) => AnswerEpoch;
-  /** Reads answers of an epoch; throws where they are not of the expected form. */
+  /** Decode a response body of the given epoch; throw if it is malformed. */
   decodePage: (body: string, epoch: number) => StorePage;
   decodeChanges: (body: string, epoch: number) => StoreChanges;
-  /** Reads a configuration; throws where it is faulty. */
+  /** Decodes a configuration; throws if it is invalid. */
   decodeConfiguration: (value: Buffer) => gateway.Configuration;
-  /** Reads the entry of a backend server; undefined where it names none. */
+  /** Decodes the entry of a backend server; undefined if the item is not a valid entry. */
   decodeBackendServer: (item: StoreItem) => gateway.BackendServerEntry | undefined;
-  /** Lists what this product does not know: of an item, and of the headers of an answer. */
+  /** List the keys, fields and headers that the gateway does not know. */
   findUnknownFields: (item: StoreItem) => unknownNames.UnknownName[];
   findUnknownHeaders: (headers: ReadonlyMap<string, string>) => unknownNames.UnknownName[];
-  /** Id of the backend server that a key belongs to. */
+  /** Extracts the id of the backend server from the key of its entry. */
   parseServerId: (key: string) => string;
-  /** Failure domain that is evacuated while there is an item under a key. */
+  /** Extracts the failure domain from an evacuation key; it is evacuated while that item exists. */
   parseEvacuatedDomain: (key: string) => string;
 };
--- a/packages/gateway/src/store-epoch.ts
+++ b/packages/gateway/src/store-epoch.ts
@@ -1,13 +1,13 @@
 /**
- * Whether the epoch of an answer of the store follows the one that is known.
+ * Checks whether the epoch of a store response follows the last known one.
  *
- * The epoch rises by one each time the store is restored from an older backup. A store that
- * tells none has one epoch for good.
+ * The epoch increases by one each time the store is restored from an older backup. A store that
+ * does not report an epoch always has the same one.
  */
 import * as gateway from '@toucanproxy/core/gateway';
 import type * as storeCodec from './store-codec.js';
 
-/** The last revision that was read of an epoch, and the first of the next one. */
+/** The last revision read in one epoch, and the first revision read in the next. */
 export type EpochChange = { before: gateway.StoreRevision; after: gateway.StoreRevision };
 
 export type EpochFault = {
@@ -16,21 +16,23 @@
   found: string;
 };
 
-/** Epoch of a store that tells none. */
+/** Epoch of a store that does not report one. */
 const NO_EPOCH = 0;
 
-/** What is made of the epoch of an answer; without an epoch the answer is not used. */
+/**
+ * Result of checking the epoch of a response; if `epoch` is undefined, the response is not used.
+ */
 export type ResolvedEpoch = { epoch: number | undefined; fault: EpochFault | undefined };
 
-/** Resolves the epoch of an answer by the latest one that was read. */
-export function resolveEpoch(known: number, told: storeCodec.AnswerEpoch): ResolvedEpoch {
+/** Determines the epoch of a response, given the last epoch that was read. */
+export function resolveEpoch(known: number, parsed: storeCodec.AnswerEpoch): ResolvedEpoch {
   const isFirst = known === gateway.BEFORE_ALL.epoch;
-  const isMissing = told.kind === 'none' && !isFirst && known !== NO_EPOCH;
-  if (told.kind === 'unreadable' || isMissing) {
-    const found = told.kind === 'unreadable' ? told.text : '';
+  const isMissing = parsed.kind === 'none' && !isFirst && known !== NO_EPOCH;
+  if (parsed.kind === 'unreadable' || isMissing) {
+    const found = parsed.kind === 'unreadable' ? parsed.text : '';
     return { epoch: undefined, fault: { kind: 'unreadable', known, found } };
   }
-  const epoch = told.kind === 'told' ? told.epoch : NO_EPOCH;
+  const epoch = parsed.kind === 'told' ? parsed.epoch : NO_EPOCH;
   const found = String(epoch);
   if (!isFirst && epoch < known) {
     return { epoch: undefined, fault: { kind: 'fell', known, found } };
--- a/packages/gateway/src/store-follower.test.ts
+++ b/packages/gateway/src/store-follower.test.ts
@@ -3,25 +3,25 @@
 import * as storeFollower from './store-follower.js';
 
 const { test } = nodeTest;
-/** Time until a call that got no answer is given up, and the longest pause after it, ms. */
-const GIVEN_UP_MS = 1000;
-const FIRST_PAUSE_MS = 100;
+/** Timeout of a call without a response, and the longest pause after it, milliseconds. */
+const CALL_TIMEOUT_MS = 1000;
+const MAX_FIRST_PAUSE_MS = 100;
 const LONG_BOUNDS = { configurationMs: 10_000, evacuationMs: 10_000 };
 
-test('one lost call fits in the bounds', () => {
-  // A backend server begins to leave right after an answer of the store. The next
-  // call is lost; the one after it tells. Known later than the bound, the backend
-  // server would get new work while it ends.
-  const pauses = [2000, 3000, 10_000].map((leavingMs) => ({
+test('one lost call fits in the time allowed for changes', () => {
+  // A backend server begins to leave right after a response of the store. The next call is lost,
+  // and the one after it returns the change. If that took longer than allowed, the backend server
+  // would get new work while it shuts down.
+  const cases = [2000, 3000, 10_000].map((leavingMs) => ({
     leavingMs,
     intervalMs: storeFollower.computeIntervalMs({ leavingMs, ...LONG_BOUNDS }),
   }));
-  pauses.forEach(({ leavingMs, intervalMs }) =>
-    assert.ok(intervalMs + GIVEN_UP_MS + FIRST_PAUSE_MS < leavingMs, String(intervalMs)),
+  cases.forEach(({ leavingMs, intervalMs }) =>
+    assert.ok(intervalMs + CALL_TIMEOUT_MS + MAX_FIRST_PAUSE_MS < leavingMs, String(intervalMs)),
   );
 });
 
-test('interval of the shortest bound', () => {
+test('the shortest time allowed decides the interval', () => {
   const bounds = { leavingMs: 3000, configurationMs: 3000, evacuationMs: 3000 };
   const intervals = [
     storeFollower.computeIntervalMs({ ...bounds, leavingMs: 2000 }),
@@ -34,7 +34,7 @@
   assert.ok(storeFollower.computeIntervalMs(shortest) > 0);
 });
 
-test('prefix that two keys share', () => {
+test('common prefix of keys', () => {
   assert.equal(storeFollower.findSharedPrefix('op/config', 'servers/'), '');
   assert.equal(storeFollower.findSharedPrefix('a/config', 'a/servers/'), 'a/');
   assert.equal(storeFollower.findSharedPrefix('a/', 'a/servers/'), 'a/');
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -1,9 +1,9 @@
 /**
- * Follows everything that a gateway takes from the store: the configuration, the entries
- * of backend servers and evacuations of failure domains, with one call over the beginning that their keys share.
+ * Follows everything that a gateway reads from the store: the configuration, the entries of
+ * backend servers and the evacuations of failure domains.
  *
- * Each call of a gateway costs the store. One answer tells of all of them, and renews the
- * lease of the configuration as well.
+ * One call covers the prefix that all their keys share, because each call of a gateway is a load
+ * on the store. Its response contains the changes of all three and renews the configuration lease.
  */
 import * as gateway from '@toucanproxy/core/gateway';
 import * as schema from '@toucanproxy/schema';
@@ -17,44 +17,43 @@
 import * as storeReader from './store-reader.js';
 import * as unknownNames from './unknown-names.js';
 
-/** What is known of the way to the store. */
-export type StoreLink = {
-  /** The last call failed. */
+/** Whether the store can be reached. */
+export type StoreStatus = {
+  /** Whether the last call failed. */
   isLost: boolean;
 };
 
-export type FollowerParts = configurationItems.ConfigurationParts &
-  serverItems.ServerParts &
-  evacuationItems.EvacuationParts & {
-    storeLink: StoreLink;
+export type FollowerDependencies = configurationItems.ConfigurationDependencies &
+  serverItems.ServerDependencies &
+  evacuationItems.EvacuationDependencies & {
+    storeStatus: StoreStatus;
     unknown: unknownNames.UnknownNames;
-    /** Called after what is known has changed. */
+    /** Schedules an assignment pass; called after changes have been applied. */
     assign: () => void;
   };
 
 /**
- * Longest time between calls, milliseconds. With it new backend servers are used after
- * three quarters of a second on average, and an answer renews the lease twice before
- * it would run out.
+ * Maximum interval between calls, milliseconds. With it new backend servers are used after 750 ms
+ * on average, and the lease is renewed twice before it would expire.
  */
-const LONGEST_INTERVAL_MS = 1500;
-const SHORTEST_INTERVAL_MS = 100;
+const MAX_INTERVAL_MS = 1500;
+const MIN_INTERVAL_MS = 100;
 /**
- * Time between calls of a gateway that schedules while work waits, milliseconds. It tells
- * the others of new backend servers with its grants, so that these do not stand empty until
- * all have read of them; one or two gateways call this often.
+ * Interval between calls of a gateway that has requests in its scheduler queues, milliseconds. It
+ * passes new backend servers on to the other gateways with its grants, so that these servers are
+ * not idle until every gateway has read their entries. Only one or two gateways call this often.
  */
 const SCHEDULING_INTERVAL_MS = 300;
 /**
- * Time that one lost call takes, milliseconds: the second until it is given up, a
- * pause of at most 100 ms, and the way of the next answer.
+ * Delay caused by one lost call, milliseconds: its timeout of one second, a pause of at most
+ * 100 ms, and the time until the next response.
  */
 const LOST_CALL_MS = 1150;
 
 /**
- * Computes the time between calls, milliseconds. A change is known one interval after
- * it was made, or with one lost call in between; both fit in the bounds that changes
- * have.
+ * Computes the interval between calls, milliseconds. A change is read at most one interval after
+ * it was made, plus the delay of a lost call if one occurs; the sum stays within the shortest time
+ * that the settings allow for a change.
  */
 export function computeIntervalMs({
   leavingMs,
@@ -64,16 +63,16 @@
   gatewaySettings.GatewaySettings,
   'leavingMs' | 'configurationMs' | 'evacuationMs'
 >): number {
-  const withinBounds = Math.min(leavingMs, configurationMs, evacuationMs) - LOST_CALL_MS;
-  return Math.max(Math.min(withinBounds, LONGEST_INTERVAL_MS), SHORTEST_INTERVAL_MS);
+  const withinLimitsMs = Math.min(leavingMs, configurationMs, evacuationMs) - LOST_CALL_MS;
+  return Math.max(Math.min(withinLimitsMs, MAX_INTERVAL_MS), MIN_INTERVAL_MS);
 }
 
-/** Chooses the time between calls by what this gateway does now, milliseconds. */
+/** Chooses the interval between calls, ms; it is shorter while requests are queued here. */
 function chooseIntervalMs({ scheduler }: gateway.GatewayState, usualMs: number): number {
   return gateway.isWorkWaiting(scheduler) ? Math.min(SCHEDULING_INTERVAL_MS, usualMs) : usualMs;
 }
 
-/** Gets the beginning that keys share; empty where they share none. */
+/** Finds the longest common prefix; an empty string if there is none. */
 export function findSharedPrefix(first: string, ...others: readonly string[]): string {
   const end = [...first].findIndex((letter, index) =>
     others.some((other) => letter !== other[index]),
@@ -81,29 +80,29 @@
   return end === -1 ? first : first.slice(0, end);
 }
 
-/** Notes that the store does not answer any more. */
-function reportLost({ storeLink, log }: FollowerParts, reason: string): void {
-  storeLink.isLost = true;
+/** Records that the store has become unreachable. */
+function reportLost({ storeStatus, log }: FollowerDependencies, reason: string): void {
+  storeStatus.isLost = true;
   log.writeAlways('store-lost', { reason });
 }
 
-/** Notes that the store answers again: entries that lapsed meanwhile may come back. */
+/** Records that the store is reachable again; entries that expired in the meantime may return. */
 function reportRegained(
-  { state, storeLink, log, readClocks }: FollowerParts,
+  { state, storeStatus, log, readClocks }: FollowerDependencies,
   awayMs: number,
 ): void {
-  storeLink.isLost = false;
+  storeStatus.isLost = false;
   const { entryReturnMs } = state.bounds;
   gateway.noteStoreReturned(state.servers, entryReturnMs, readClocks().steadyMs);
   log.writeAlways('store-regained', { awayMs: Math.round(awayMs) });
 }
 
 /**
- * Notes that the store has been restored from an older backup: entries that were written since
- * that backup are missing until their backend servers have written them again.
+ * Handles a restore of the store from an older backup. Entries that were written after that backup
+ * are missing until their backend servers write them again.
  */
 function applyEpoch(
-  { state, log, readClocks }: FollowerParts,
+  { state, log, readClocks }: FollowerDependencies,
   change: storeEpoch.EpochChange,
 ): void {
   const { entryReturnMs } = state.bounds;
@@ -111,16 +110,19 @@
   log.writeAlways('store-epoch', change);
 }
 
-/** Tells of an epoch that does not follow the one that is known. */
-function reportEpochFault({ log, readClocks }: FollowerParts, fault: storeEpoch.EpochFault): void {
+/** Reports an epoch that does not follow the last known one. */
+function reportEpochFault(
+  { log, readClocks }: FollowerDependencies,
+  fault: storeEpoch.EpochFault,
+): void {
   const code = schema.ResultCode.STORE_EPOCH_FAULT;
   const line = { ...fault, code, result: schema.ResultCode[code] };
   log.write('store-epoch-faulty', line, readClocks().steadyMs);
 }
 
-/** Takes in that the store has answered, and tells where it is behind other gateways. */
-function noteAnswer(
-  { state, log, readClocks }: FollowerParts,
+/** Records a response; logs when the store falls behind other gateways or catches up. */
+function recordResponse(
+  { state, log, readClocks }: FollowerDependencies,
   sent: gateway.ClockReading,
   isList: boolean,
 ): gateway.StoreAnswerOutcome {
@@ -133,25 +135,30 @@
   return outcome;
 }
 
-/** Starts to follow the store. */
-export function startStoreFollower(parts: FollowerParts): storeReader.StoreReader {
-  const { state, settings, codec, readClocks, assign } = parts;
+/** Starts following the store. */
+export function startStoreFollower(dependencies: FollowerDependencies): storeReader.StoreReader {
+  const { state, settings, codec, readClocks, assign } = dependencies;
   const usualMs = computeIntervalMs(settings);
-  const noteUnknown = (found: unknownNames.UnknownName[]) =>
-    unknownNames.noteUnknownNames(parts.unknown, parts.log, found, readClocks().steadyMs);
+  const recordUnknown = (found: unknownNames.UnknownName[]) =>
+    unknownNames.recordUnknownNames(
+      dependencies.unknown,
+      dependencies.log,
+      found,
+      readClocks().steadyMs,
+    );
   const applySnapshot = (items: storeCodec.StoreItem[], revision: gateway.StoreRevision) => {
-    configurationItems.applyConfigurations(parts, items);
-    evacuationItems.applyAllEvacuations(parts, items, revision);
-    serverItems.applyAllServers(parts, items, revision);
+    configurationItems.applyConfigurations(dependencies, items);
+    evacuationItems.applyAllEvacuations(dependencies, items, revision);
+    serverItems.applyAllServers(dependencies, items, revision);
     assign();
-    noteUnknown(items.flatMap(codec.findUnknownFields));
+    recordUnknown(items.flatMap(codec.findUnknownFields));
   };
   const applyChanges = (items: storeCodec.StoreItem[], revision: gateway.StoreRevision) => {
-    configurationItems.applyConfigurations(parts, items);
-    evacuationItems.applyEvacuationChanges(parts, items);
-    serverItems.applyServerChanges(parts, items, revision);
+    configurationItems.applyConfigurations(dependencies, items);
+    evacuationItems.applyEvacuationChanges(dependencies, items);
+    serverItems.applyServerChanges(dependencies, items, revision);
     assign();
-    noteUnknown(items.flatMap(codec.findUnknownFields));
+    recordUnknown(items.flatMap(codec.findUnknownFields));
   };
   return storeReader.startStoreReader({
     client: storeClient.createStoreClient(settings.store),
@@ -166,11 +173,11 @@
     drawRandom: state.drawRandom,
     applySnapshot,
     applyChanges,
-    confirm: (sent, isList) => noteAnswer(parts, sent, isList),
-    reportLost: (reason) => reportLost(parts, reason),
-    reportRegained: (awayMs) => reportRegained(parts, awayMs),
-    applyEpoch: (change) => applyEpoch(parts, change),
-    reportEpochFault: (fault) => reportEpochFault(parts, fault),
-    reportUnknown: noteUnknown,
+    confirm: (sent, isList) => recordResponse(dependencies, sent, isList),
+    reportLost: (reason) => reportLost(dependencies, reason),
+    reportRegained: (awayMs) => reportRegained(dependencies, awayMs),
+    applyEpoch: (change) => applyEpoch(dependencies, change),
+    reportEpochFault: (fault) => reportEpochFault(dependencies, fault),
+    reportUnknown: recordUnknown,
   });
 }
--- a/packages/gateway/src/store-reader.test.ts
+++ b/packages/gateway/src/store-reader.test.ts
@@ -7,7 +7,9 @@
 const LONG_MS = 3_600_000;
 const SHORT_MS = 1;
 
-/** Answers of a store without items: a list at first, then changes. */
+/**
+ * Decodes the responses of a fake store: lists with one deleted item, and changes without items.
+ */
 const CODEC: storeCodec.StoreCodec = {
   buildRangePath: () => 'range',
   buildWatchPath: (_, revision) => `watch-${revision.count}`,
@@ -30,21 +32,21 @@
   parseEvacuatedDomain: (key) => key,
 };
 
-/** What a reader has done, and how often it is to call. */
+/** What a reader has done so far, and how the fake store and its caller behave. */
 type Reading = {
   paths: string[];
   revisions: number[];
   intervalMs: number;
-  /** Epochs and bodies of the first answers; the last one goes on. */
-  answers?: { epoch: string; body: string }[];
-  /** Epochs that were taken in, and calls that confirmed what is known. */
+  /** Epochs and bodies of the responses in order; the last one is repeated. */
+  responses?: { epoch: string; body: string }[];
+  /** Epoch changes that were applied, and number of confirmations. */
   epochs?: number[];
   confirmed?: number;
-  /** The confirmation after which all is to be listed. */
+  /** Number of the confirmation after which all items must be listed. */
   listDueAt?: number;
 };
 
-/** Starts a reader, and gives what waits until it has made some calls. */
+/** Starts a reader; returns a function that waits until it has made a number of calls. */
 function startReading(context: nodeTest.TestContext, reading: Reading) {
   let noteCall = () => {};
   const readNow = () => performance.now();
@@ -53,10 +55,10 @@
       call: (path) => {
         reading.paths.push(path);
         noteCall();
-        const { answers = [] } = reading;
-        const answer = answers.length > 1 ? answers.shift() : answers[0];
-        const headers = new Map(answer === undefined ? [] : [['epoch', answer.epoch] as const]);
-        return Promise.resolve({ status: 200, headers, body: answer?.body ?? '' });
+        const { responses = [] } = reading;
+        const response = responses.length > 1 ? responses.shift() : responses[0];
+        const headers = new Map(response === undefined ? [] : [['epoch', response.epoch] as const]);
+        return Promise.resolve({ status: 200, headers, body: response?.body ?? '' });
       },
       stop: () => {},
     },
@@ -89,9 +91,9 @@
     });
 }
 
-test('interval that becomes shorter while it passes', async (context) => {
-  // Nothing waits, and the next call to the store is an hour away. Then work waits for this
-  // gateway to schedule it. The call is made now, not after the hour that it began with.
+test('interval that becomes shorter while it elapses', async (context) => {
+  // No request is queued, so the next call to the store is an hour away. Then a request is queued
+  // for this gateway to schedule. The call must be made at once, not at the end of the hour.
   const reading = { paths: [], revisions: [], intervalMs: LONG_MS };
   const waitForCalls = startReading(context, reading);
   await waitForCalls(2);
@@ -100,36 +102,38 @@
   assert.deepEqual(reading.paths.slice(0, 4), ['range', 'watch-7', 'watch-8', 'watch-8']);
 });
 
-test('what is read comes with its revision', async (context) => {
+test('items are applied with their revision', async (context) => {
   const reading = { paths: [], revisions: [], intervalMs: SHORT_MS };
   const waitForCalls = startReading(context, reading);
   await waitForCalls(3);
   assert.deepEqual(reading.revisions.slice(0, 2), [7, 8]);
 });
 
-test('list whose pages are of two epochs', async (context) => {
-  // Guards against half a list from before the store went back: it would drop what is there.
-  const answers = [
+test('list whose pages have two epochs', async (context) => {
+  // Guards against applying a list that is partly from before the store was restored: entries that
+  // exist would be dropped.
+  const responses = [
     { epoch: '1', body: 'first' },
     { epoch: '2', body: 'second' },
     { epoch: '2', body: 'first' },
     { epoch: '2', body: 'second' },
   ];
-  const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, answers };
+  const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, responses };
   const waitForCalls = startReading(context, reading);
   await waitForCalls(5);
   assert.deepEqual(reading.paths, ['range', 'range', 'range', 'range', 'watch-7']);
   assert.equal(reading.revisions.length, 1);
 });
 
-test('changes of a later epoch are listed anew', async (context) => {
-  // Guards against changes that are told from a count which the store has given out twice.
-  const answers = [
+test('changes of a later epoch cause a new list', async (context) => {
+  // Guards against reading changes since a revision number that the store, once restored, has used
+  // a second time.
+  const responses = [
     { epoch: '1', body: '' },
     { epoch: '2', body: '' },
   ];
   const epochs: number[] = [];
-  const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, answers, epochs };
+  const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, responses, epochs };
   const waitForCalls = startReading(context, reading);
   await waitForCalls(4);
   assert.deepEqual(reading.paths, ['range', 'watch-7', 'range', 'watch-7']);
@@ -137,19 +141,19 @@
   assert.deepEqual(reading.revisions, [7, 7]);
 });
 
-test('answer of an earlier epoch confirms nothing', async (context) => {
-  // Guards against a lease that an answer renews which is not used.
-  const answers = [
+test('response of an earlier epoch confirms nothing', async (context) => {
+  // Guards against renewing the lease with a response that is not used.
+  const responses = [
     { epoch: '2', body: '' },
     { epoch: '1', body: '' },
   ];
-  const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, answers };
+  const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, responses };
   const waitForCalls = startReading(context, reading);
   await waitForCalls(4);
   assert.deepEqual([reading.confirmed, reading.revisions.length], [1, 1]);
 });
 
-test('all is listed where changes fall behind', async (context) => {
+test('all items are listed if changes fall behind', async (context) => {
   const reading: Reading = { paths: [], revisions: [], intervalMs: LONG_MS, listDueAt: 2 };
   const waitForCalls = startReading(context, reading);
   await waitForCalls(3);
--- a/packages/gateway/src/store-reader.ts
+++ b/packages/gateway/src/store-reader.ts
@@ -1,14 +1,13 @@
 /**
  * Follows the items under a prefix of the store.
  *
- * Lists them once and then asks for changes, again and again. Where the store
- * has dropped the history in between, it lists again. Each answer confirms what
- * is known as of the sending of its call, not of its arrival: an answer may be
- * late, and what it says may be over by then.
+ * Lists all items once and then polls for changes. If the store no longer has the history since
+ * the last call, it lists again. A response confirms the state as of the time its call was sent,
+ * not the time it arrived: it may be delayed, and its content outdated by then.
  *
- * Calls do not wait for changes, they are sent at even intervals. An answer that has
- * waited is as old as its wait when it comes, and the lease that it renews runs out
- * the earlier once the store falls silent.
+ * Calls are sent at regular intervals and do not wait in the store for changes. A response that
+ * waited would be as old as its wait when it arrives, so the lease that it renews would expire
+ * that much earlier if the store then became unreachable.
  */
 import * as gateway from '@toucanproxy/core/gateway';
 import type * as clocks from './clocks.js';
@@ -21,65 +20,69 @@
   client: storeClient.StoreClient;
   codec: storeCodec.StoreCodec;
   prefix: string;
-  /** Chooses the time between the sending of calls, milliseconds; asked while it passes. */
+  /** Chooses the interval between calls, milliseconds; called repeatedly while it elapses. */
   chooseIntervalMs: () => number;
   readClocks: clocks.ReadClocks;
   drawRandom: () => number;
-  /** Takes in all items, as they were at a revision or later. */
+  /** Applies the complete list of items, as of a revision or later. */
   applySnapshot: (items: storeCodec.StoreItem[], revision: gateway.StoreRevision) => void;
-  /** Takes in the items that have changed up to a revision. */
+  /** Applies the items that have changed up to a revision. */
   applyChanges: (items: storeCodec.StoreItem[], revision: gateway.StoreRevision) => void;
-  /** What the store answered to a call that was sent at the given reading has been taken in. */
+  /** Called after a response was applied, with the time its call was sent. */
   confirm: (sent: gateway.ClockReading, isList: boolean) => { isListDue: boolean };
   reportLost: (reason: string) => void;
   reportRegained: (awayMs: number) => void;
-  /** The store has been restored from an older backup; what it has now is taken in next. */
+  /** Called when the store has been restored from a backup, before its items are applied. */
   applyEpoch: (change: storeEpoch.EpochChange) => void;
-  /** The epoch of an answer does not follow the one that is known. */
+  /** Called when the epoch of a response does not follow the last known one. */
   reportEpochFault: (fault: storeEpoch.EpochFault) => void;
-  /** Told of names in answers that this product does not know. */
+  /** Called with the headers of a response that the gateway does not know. */
   reportUnknown: (found: unknownNames.UnknownName[]) => void;
 };
 
 export type StoreReader = {
-  /** Resolves once the items have been read for the first time. */
-  first: Promise<void>;
+  /** Resolves once all items have been read for the first time. */
+  firstRead: Promise<void>;
   stop: () => void;
 };
 
-/** Time that an answer may take, milliseconds: a slow store's. */
-const ANSWER_MS = 1000;
-/** First and longest pause after a failed call, milliseconds. */
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 500;
-/** Least part of a pause; the rest is drawn, so that gateways do not call at once. */
-const LEAST_PAUSE_SHARE = 0.5;
-/** An interval that becomes shorter is noticed after this time, milliseconds. */
-const INTERVAL_STEP_MS = 150;
+/** Timeout of a call, milliseconds; long enough for a slow store. */
+const CALL_TIMEOUT_MS = 1000;
+/** Upper limit of the pause after a first failed call, and after any failed call, milliseconds. */
+const MAX_FIRST_PAUSE_MS = 100;
+const MAX_PAUSE_MS = 500;
+/** Fixed share of a pause; the rest is random, so that gateways do not call all at once. */
+const FIXED_PAUSE_SHARE = 0.5;
+/** How often the interval is checked again while it elapses, milliseconds. */
+const INTERVAL_CHECK_MS = 150;
 const STATUS_OK = 200;
 const STATUS_HISTORY_GONE = 410;
 
-/** What the reader remembers between calls. */
+/** State of the reader between calls. */
 type ReaderState = {
   options: StoreReaderOptions;
-  /** Changes after this revision are not known; undefined while all is to be listed. */
+  /** Changes have been read up to this revision; undefined if the next call lists all items. */
   revision: gateway.StoreRevision | undefined;
-  /** The latest revision that was read; tells the epoch. */
-  latest: gateway.StoreRevision;
+  /** The latest revision that was read; gives the epoch of the store. */
+  latestRevision: gateway.StoreRevision;
   failures: number;
-  lostMs: number;
+  /** When the first of the current failures occurred. */
+  lostSinceMs: number;
   stopped: boolean;
-  noteFirst: () => void;
+  resolveFirstRead: () => void;
 };
 
 /**
- * Reads the epoch of an answer. What cannot be put in order is not used: an answer of an
- * earlier epoch would bring back what the later one has ended.
+ * Reads the epoch of a response; throws if the epoch is unreadable or earlier than the last one. A
+ * response of an earlier epoch would restore state that has since been replaced.
  */
-function readEpoch({ options, latest }: ReaderState, answer: storeClient.StoreAnswer): number {
-  options.reportUnknown(options.codec.findUnknownHeaders(answer.headers));
-  const told = options.codec.parseEpoch(answer.headers);
-  const { epoch, fault } = storeEpoch.resolveEpoch(latest.epoch, told);
+function readEpoch(
+  { options, latestRevision }: ReaderState,
+  response: storeClient.StoreResponse,
+): number {
+  options.reportUnknown(options.codec.findUnknownHeaders(response.headers));
+  const parsed = options.codec.parseEpoch(response.headers);
+  const { epoch, fault } = storeEpoch.resolveEpoch(latestRevision.epoch, parsed);
   if (fault !== undefined) {
     options.reportEpochFault(fault);
   }
@@ -89,7 +92,7 @@
   return epoch;
 }
 
-/** Lists all items; the first page's revision is where changes are followed from. */
+/** Lists all items, page by page; changes are read starting from the revision of the first page. */
 async function readAll(state: ReaderState): Promise<{
   items: storeCodec.StoreItem[];
   revision: gateway.StoreRevision;
@@ -100,16 +103,16 @@
   let isLast = false;
   while (!isLast) {
     const path = codec.buildRangePath(prefix, items.at(-1)?.key);
-    const answer = await client.call(path, ANSWER_MS);
-    if (answer.status !== STATUS_OK) {
-      throw new Error(`status-${answer.status}`);
+    const response = await client.call(path, CALL_TIMEOUT_MS);
+    if (response.status !== STATUS_OK) {
+      throw new Error(`status-${response.status}`);
     }
-    const epoch = readEpoch(state, answer);
+    const epoch = readEpoch(state, response);
     if (revision !== undefined && epoch !== revision.epoch) {
-      // Half of the list is from before the store went back.
+      // The store was restored between two pages; the earlier ones are out of date.
       throw new Error('epoch-changed');
     }
-    const page = codec.decodePage(answer.body, epoch);
+    const page = codec.decodePage(response.body, epoch);
     items.push(...page.items);
     revision ??= page.revision;
     isLast = page.isLast || page.items.length === 0;
@@ -117,76 +120,76 @@
   return { items, revision: revision ?? gateway.BEFORE_ALL };
 }
 
-/** Waits. */
+/** Waits for a time, milliseconds. */
 function pause(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 }
 
-/** Notes that the store has answered. */
-function noteAnswer(state: ReaderState): void {
+/** Records a response of the store; reports it if calls had failed before. */
+function recordResponse(state: ReaderState): void {
   const { options } = state;
   if (state.failures > 0) {
     state.failures = 0;
-    options.reportRegained(options.readClocks().steadyMs - state.lostMs);
+    options.reportRegained(options.readClocks().steadyMs - state.lostSinceMs);
   }
 }
 
-/** Waits until the next call is due; the interval may change while it passes. */
+/** Waits until the next call is due; the interval may change in the meantime. */
 async function waitInterval(state: ReaderState, sentMs: number): Promise<void> {
   const { options } = state;
-  const computeLeft = () => options.chooseIntervalMs() - (options.readClocks().steadyMs - sentMs);
-  let leftMs = computeLeft();
+  const computeLeftMs = () => options.chooseIntervalMs() - (options.readClocks().steadyMs - sentMs);
+  let leftMs = computeLeftMs();
   while (leftMs > 0 && !state.stopped) {
-    await pause(Math.min(leftMs, INTERVAL_STEP_MS));
-    leftMs = computeLeft();
+    await pause(Math.min(leftMs, INTERVAL_CHECK_MS));
+    leftMs = computeLeftMs();
   }
 }
 
-/** Lists all items and takes them in. */
+/** Lists all items and applies them. */
 async function readList(state: ReaderState): Promise<void> {
-  const { options, latest } = state;
+  const { options, latestRevision } = state;
   const sent = options.readClocks();
   const { items, revision } = await readAll(state);
-  noteAnswer(state);
-  if (latest.epoch !== revision.epoch && latest !== gateway.BEFORE_ALL) {
-    options.applyEpoch({ before: latest, after: revision });
+  recordResponse(state);
+  if (latestRevision.epoch !== revision.epoch && latestRevision !== gateway.BEFORE_ALL) {
+    options.applyEpoch({ before: latestRevision, after: revision });
   }
   state.revision = revision;
-  state.latest = revision;
+  state.latestRevision = revision;
   options.applySnapshot(items, revision);
   options.confirm(sent, true);
-  state.noteFirst();
+  state.resolveFirstRead();
 }
 
-/** Asks for changes and takes them in; a store that has gone back is listed next. */
+/** Reads changes and applies them; if the store was restored, the next call lists all items. */
 async function readChanges(state: ReaderState, since: gateway.StoreRevision): Promise<void> {
   const { options } = state;
   const { client, codec, prefix } = options;
   const sent = options.readClocks();
   const path = codec.buildWatchPath(prefix, since, 0);
-  // Listed again after any answer that is not taken in.
+  // Any response that is not applied makes the next call list all items.
   state.revision = undefined;
-  const answer = await client.call(path, ANSWER_MS).catch((error: unknown) => {
+  const response = await client.call(path, CALL_TIMEOUT_MS).catch((error: unknown) => {
     state.revision = since;
     throw error;
   });
-  if (answer.status === STATUS_HISTORY_GONE) {
+  if (response.status === STATUS_HISTORY_GONE) {
     return;
   }
-  if (answer.status !== STATUS_OK) {
+  if (response.status !== STATUS_OK) {
     state.revision = since;
-    throw new Error(`status-${answer.status}`);
+    throw new Error(`status-${response.status}`);
   }
-  const epoch = readEpoch(state, answer);
+  const epoch = readEpoch(state, response);
   if (epoch !== since.epoch) {
     return;
   }
-  const changes = codec.decodeChanges(answer.body, epoch);
-  noteAnswer(state);
+  const changes = codec.decodeChanges(response.body, epoch);
+  recordResponse(state);
   state.revision = gateway.isLater(changes.revision, since) ? changes.revision : since;
-  state.latest = state.revision;
+  state.latestRevision = state.revision;
   options.applyChanges(changes.items, changes.revision);
   if (options.confirm(sent, false).isListDue) {
     state.revision = undefined;
@@ -195,25 +198,25 @@
   await waitInterval(state, sent.steadyMs);
 }
 
-/** Makes one call and takes in what it brings. */
+/** Makes one call and applies its result. */
 function readOnce(state: ReaderState): Promise<void> {
   return state.revision === undefined ? readList(state) : readChanges(state, state.revision);
 }
 
-/** Notes a failed call and waits before the next one. */
+/** Records a failed call and waits before the next one. */
 async function handleFailure(state: ReaderState, error: unknown): Promise<void> {
   const { options } = state;
   if (state.failures === 0) {
-    state.lostMs = options.readClocks().steadyMs;
+    state.lostSinceMs = options.readClocks().steadyMs;
     options.reportLost((error as Error).message);
   }
-  const longest = Math.min(FIRST_PAUSE_MS * 2 ** state.failures, LONGEST_PAUSE_MS);
+  const maxPauseMs = Math.min(MAX_FIRST_PAUSE_MS * 2 ** state.failures, MAX_PAUSE_MS);
   state.failures += 1;
-  const share = LEAST_PAUSE_SHARE + (1 - LEAST_PAUSE_SHARE) * options.drawRandom();
-  await pause(longest * share);
+  const share = FIXED_PAUSE_SHARE + (1 - FIXED_PAUSE_SHARE) * options.drawRandom();
+  await pause(maxPauseMs * share);
 }
 
-/** Reads until it is stopped. */
+/** Reads until the reader is stopped. */
 async function run(state: ReaderState): Promise<void> {
   while (!state.stopped) {
     try {
@@ -226,24 +229,24 @@
   }
 }
 
-/** Starts to follow a prefix. */
+/** Starts following a prefix. */
 export function startStoreReader(options: StoreReaderOptions): StoreReader {
-  let noteFirst = () => {};
-  const first = new Promise<void>((resolve) => {
-    noteFirst = resolve;
+  let resolveFirstRead = () => {};
+  const firstRead = new Promise<void>((resolve) => {
+    resolveFirstRead = resolve;
   });
   const state: ReaderState = {
     options,
     revision: undefined,
-    latest: gateway.BEFORE_ALL,
+    latestRevision: gateway.BEFORE_ALL,
     failures: 0,
-    lostMs: 0,
+    lostSinceMs: 0,
     stopped: false,
-    noteFirst,
+    resolveFirstRead,
   };
   run(state);
   return {
-    first,
+    firstRead,
     stop: () => {
       state.stopped = true;
       options.client.stop();
--- a/packages/gateway/src/task-state.ts
+++ b/packages/gateway/src/task-state.ts
@@ -1,4 +1,4 @@
-/** What a gateway task owns. */
+/** State and dependencies of the gateway task. */
 import type * as gateway from '@toucanproxy/core/gateway';
 import type * as backendConnections from './backend-connections.js';
 import type * as clocks from './clocks.js';
@@ -8,7 +8,7 @@
 import type * as unknownNames from './unknown-names.js';
 import type * as wireProtocol from './wire-protocol.js';
 
-export type GatewayTaskParts = {
+export type GatewayTaskDependencies = {
   state: gateway.GatewayState;
   protocol: wireProtocol.WireProtocol;
   connections: backendConnections.BackendConnections;
@@ -19,9 +19,11 @@
   sendToPeers: (outgoing: readonly gateway.Outgoing[]) => void;
 };
 
-export type TaskState = GatewayTaskParts & {
+export type TaskState = GatewayTaskDependencies & {
+  /** Requests in progress, by serial number. */
   held: Map<number, heldRequest.HeldRequest>;
+  /** Called once no request is in progress; undefined until somebody waits for that. */
   idle: (() => void) | undefined;
-  /** Assigns what can be assigned once the present turn of the event loop is over. */
+  /** Schedules an assignment pass for the end of the current turn of the event loop. */
   assign: () => void;
 };
--- a/packages/gateway/src/unknown-names.ts
+++ b/packages/gateway/src/unknown-names.ts
@@ -1,28 +1,28 @@
 /**
- * Names of the platform that this product does not know.
+ * Counts headers, fields and keys of the platform that the gateway does not know.
  *
- * A header or a field that nobody has decided on may ask for something that is then not done.
- * Each is counted, logged at times, and shown to operators.
+ * An unknown name may request something that the gateway then does not do. Each name is counted,
+ * logged at most once an hour, and shown to operators.
  */
 import type * as decisionLog from './decision-log.js';
 
 export type UnknownName = {
-  /** Where it stands, as the adapter of the platform calls it. */
+  /** Where the name was found, as the platform adapter calls it. */
   place: string;
   name: string;
 };
 
 type UnknownCount = UnknownName & { count: number; loggedMs: number };
 
-/** By place and name. */
+/** Counts by place and name. */
 export type UnknownNames = Map<string, UnknownCount>;
 
-/** Names that are counted at most; a caller or a backend server could send any number. */
+/** Maximum number of names; callers and backend servers could send any number of different ones. */
 const MAX_NAMES = 32;
 const LOG_INTERVAL_MS = 3_600_000;
 
-/** Counts names, and logs each the first time and then once in an hour. */
-export function noteUnknownNames(
+/** Counts names, and logs each the first time and then at most once an hour. */
+export function recordUnknownNames(
   names: UnknownNames,
   log: decisionLog.DecisionLog,
   found: readonly UnknownName[],
@@ -34,12 +34,12 @@
     if (known === undefined && names.size >= MAX_NAMES) {
       return;
     }
-    const counted = known ?? { place, name, count: 0, loggedMs: -Infinity };
-    names.set(key, counted);
-    counted.count += 1;
-    if (now - counted.loggedMs >= LOG_INTERVAL_MS) {
-      counted.loggedMs = now;
-      log.writeAlways('unknown-name', { place, name, count: counted.count });
+    const entry = known ?? { place, name, count: 0, loggedMs: -Infinity };
+    names.set(key, entry);
+    entry.count += 1;
+    if (now - entry.loggedMs >= LOG_INTERVAL_MS) {
+      entry.loggedMs = now;
+      log.writeAlways('unknown-name', { place, name, count: entry.count });
     }
   });
 }
--- a/packages/gateway/src/wire-protocol.ts
+++ b/packages/gateway/src/wire-protocol.ts
@@ -1,57 +1,57 @@
 /**
- * What the adapter of a platform translates between callers, this product and
- * backend servers. Nothing here decides.
+ * Interface that a platform adapter implements to translate headers between callers, the gateway
+ * and backend servers. An adapter only translates; all decisions are made in the gateway.
  */
 import type * as gateway from '@toucanproxy/core/gateway';
 import type * as unknownNames from './unknown-names.js';
 
-/** Header lines as they came: names and values by turns. */
+/** Headers as received: names and values alternating. */
 export type RawHeaders = string[];
 
-/** What the headers of a request say. */
+/** Values parsed from the headers of a request. */
 export type RequestNames = Pick<
   gateway.ArrivedRequest,
   'attemptId' | 'credential' | 'deadlineMs' | 'tokens' | 'answerGuess'
 >;
 
-/** What the gateway itself tells a backend server about a request. */
+/** What the gateway itself adds to a request for a backend server. */
 export type ForwardedFacts = {
   deadlineLeftMs: number;
   serverId: string;
-  /** Undefined where the request has no workspace. */
+  /** Undefined if the request has no workspace. */
   workspace: string | undefined;
-  /** Id of the last event that the caller has; undefined for a run from the start. */
+  /** Id of the last event that the caller received; undefined to run from the start. */
   resumeAfter: string | undefined;
 };
 
-/** A value that an answer may state about its backend server. */
+/** A header value that a response may state about its backend server. */
 export type StatedValue<T> =
   { kind: 'none' } | { kind: 'stated'; value: T } | { kind: 'unreadable'; text: string };
 
-/** What the head of an answer says. */
+/** Values parsed from the status and headers of a response. */
 export type AnswerNames = {
-  /** The request that it answers; undefined where it does not say. */
+  /** The request that it responds to; undefined if the response does not say. */
   attemptId: string | undefined;
-  /** The backend server says that it did not run the request. */
+  /** Whether the backend server reports that it did not run the request. */
   isNotRun: boolean;
-  /** Another backend server than the one meant has answered. */
+  /** Whether the response comes from a different backend server than the intended one. */
   isMisdirected: boolean;
-  /** It bears the mark of a backend server. */
+  /** Whether the response carries the signature header that backend servers set. */
   isSigned: boolean;
-  /** Requests a second that the backend server takes from all gateways together. */
+  /** Rate limit of the backend server for all gateways together, requests per second. */
   perSecond: StatedValue<number>;
-  /** The backend server leaves. */
+  /** Whether the backend server reports that it is leaving. */
   leaving: StatedValue<true>;
-  /** Time for which the backend server takes nothing from this gateway, milliseconds. */
+  /** Time for which the backend server accepts nothing from this gateway, milliseconds. */
   backoffMs: StatedValue<number>;
-  /** Headers of the platform that this product does not know. */
+  /** Headers of the platform that the gateway does not know. */
   unknown: unknownNames.UnknownName[];
 };
 
 export type WireProtocol = {
-  /** Reads the headers of a request; undefined where they are faulty. */
+  /** Parses the headers of a request; undefined if they are invalid. */
   parseRequest: (headers: RawHeaders) => RequestNames | undefined;
-  /** Builds the headers of a request for a backend server from end-to-end headers. */
+  /** Builds the headers of a request to a backend server from the caller's end-to-end headers. */
   buildForwardHeaders: (headers: RawHeaders, facts: ForwardedFacts) => RawHeaders;
   parseAnswer: (status: number, headers: RawHeaders) => AnswerNames;
 };
--- a/packages/runtime/src/client-error.ts
+++ b/packages/runtime/src/client-error.ts
@@ -1,9 +1,9 @@
-/** Answers what the HTTP parser cannot take: every refusal has its code. */
+/** Responds to requests that the HTTP parser rejects, with a result code for each kind of error. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 import * as schema from '@toucanproxy/schema';
 
-/** An answer of this process itself. */
+/** A response that this process generates itself. */
 export type OwnAnswer = { status: number; headers: Record<string, string>; body: string };
 
 const CODE_BY_ERROR: Record<string, schema.ResultCode> = {
@@ -11,17 +11,17 @@
   ERR_HTTP_REQUEST_TIMEOUT: schema.ResultCode.REQUEST_TIMEOUT,
 };
 
-/** Finds the result of an error; undefined where there is nobody to be told. */
+/** Maps a parser error to a result code; undefined if no response can be sent. */
 export function toResultCode(error: Error): schema.ResultCode | undefined {
   const name = (error as NodeJS.ErrnoException).code ?? '';
   const isSyntax = name.startsWith('HPE_');
   return CODE_BY_ERROR[name] ?? (isSyntax ? schema.ResultCode.MALFORMED_REQUEST : undefined);
 }
 
-/** Writes a refusal to a connection on which no request could be read. */
+/** Writes an error response to a connection whose request could not be read, and closes it. */
 export function writeRefusal(socket: net.Socket, answer: OwnAnswer): void {
-  // Node.js leaves no listener on the connection of a tunnel; an error that
-  // nobody takes would end the process.
+  // Node.js leaves no error listener on the connection of a tunnel, and an unhandled error event
+  // would terminate the process.
   socket.on('error', () => socket.destroy());
   if (!socket.writable) {
     socket.destroy();
--- a/packages/runtime/src/core-task.ts
+++ b/packages/runtime/src/core-task.ts
@@ -1,15 +1,15 @@
 /**
- * The task that owns a core's state. Other tasks post events to it; it applies
- * them one by one and hands the effects on.
+ * Event loop around the state of a core. Other tasks post events; the core task applies them one
+ * at a time and executes the resulting effects.
  */
 
-/** Milliseconds between ticks; what is due by time alone is late by this much at most. */
+/** Interval of ticks, milliseconds; limits the delay of what becomes due by time. */
 const TICK_MS = 50;
 
 export type CoreTask<Event, Effect> = {
-  /** Applies the event before it returns, unless another is being applied. */
+  /** Adds an event; it is applied before `post` returns, unless another event is being applied. */
   post: (event: Event) => void;
-  /** Begins to apply events; those posted before are applied first. */
+  /** Starts applying events, beginning with those posted earlier. */
   start: (executeEffect: (effect: Effect) => void) => void;
   stop: () => void;
 };
@@ -21,7 +21,7 @@
   buildTick: () => Event;
 };
 
-/** Creates a core task; it holds its events back until it is started. */
+/** Creates a core task; events are kept until it is started. */
 export function createCoreTask<State, Event, Effect>(
   options: CoreTaskOptions<State, Event, Effect>,
 ): CoreTask<Event, Effect> {
--- a/packages/runtime/src/document-receiver.ts
+++ b/packages/runtime/src/document-receiver.ts
@@ -1,13 +1,13 @@
-/** Checks documents that come from the platform or from a peer. */
+/** Parses and checks documents that come from the platform or from a peer. */
 import type * as bunyan from 'bunyan';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
 
 /**
- * Creates the function that takes the text of a document.
+ * Creates the function that receives the text of a document and posts the parsed document.
  *
- * A faulty document is refused whole and logged with its faults; the version
- * in force stays.
+ * A document with any fault is refused as a whole and logged with its faults; the active version
+ * stays active.
  */
 export function createDocumentReceiver(
   log: bunyan,
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What the entry and the agent daemon share. */
+/** Code that the daemons share: logging, metrics, platform clients and links. */
 export * from './client-error.js';
 export * from './configuration-watch.js';
 export * from './core-task.js';
--- a/packages/runtime/src/link-client.ts
+++ b/packages/runtime/src/link-client.ts
@@ -1,4 +1,7 @@
-/** The entry's end of links: one HTTP/2 connection each, so that a silent one can be given up. */
+/**
+ * The entry's side of links. Each link has its own HTTP/2 connection, so that an unresponsive one
+ * can be closed.
+ */
 import * as connect from '@connectrpc/connect';
 import * as connectNode from '@connectrpc/connect-node';
 import * as schema from '@toucanproxy/schema';
@@ -13,9 +16,9 @@
   /** Address of the agent, "IP:port". */
   address: string;
   receive: (message: schema.AgentMessage) => void;
-  /** Bytes that may wait to be sent; the default where left out. */
+  /** Maximum number of bytes that wait to be sent; optional. */
   maxWaitingBytes?: number;
-  /** Called once, for whatever reason the link ended. */
+  /** Called once when the link has ended, for whatever reason. */
   closed: () => void;
 };
 
@@ -42,22 +45,22 @@
   const client = connect.createClient(schema.LinkService, transport);
   const outbox = linkOutbox.createLinkOutbox<schema.EntryMessage>(options.maxWaitingBytes);
   const controller = new AbortController();
-  let open = true;
+  let isOpen = true;
   const close = () => {
-    if (!open) {
+    if (!isOpen) {
       return;
     }
-    open = false;
+    isOpen = false;
     controller.abort();
     outbox.close();
     sessionManager.abort();
     options.closed();
   };
-  const answers = client.connect(outbox.messages, { signal: controller.signal });
-  readMessages(answers, (message) => open && options.receive(message)).then(close, close);
+  const messages = client.connect(outbox.messages, { signal: controller.signal });
+  readMessages(messages, (message) => isOpen && options.receive(message)).then(close, close);
   return {
     send: (message) => {
-      if (open && !outbox.push(message)) {
+      if (isOpen && !outbox.push(message)) {
         close();
       }
     },
--- a/packages/runtime/src/link-outbox.test.ts
+++ b/packages/runtime/src/link-outbox.test.ts
@@ -12,13 +12,13 @@
 const MAX_WAITING_BYTES = 256 * 1024;
 const CHUNK_BYTES = 64 * 1024;
 
-type Signal<T> = { promise: Promise<T>; give: (value: T) => void };
+type Signal<T> = { promise: Promise<T>; fulfil: (value: T) => void };
 
-/** Creates a promise with the function that fulfils it. */
+/** Creates a promise together with the function that fulfils it. */
 function createSignal<T>(): Signal<T> {
   const signal: Partial<Signal<T>> = {};
   signal.promise = new Promise((resolve) => {
-    signal.give = resolve;
+    signal.fulfil = resolve;
   });
   return signal as Signal<T>;
 }
@@ -30,8 +30,8 @@
 }
 
 nodeTest.test('agent that does not read', async (context) => {
-  // An agent hangs with its connection open. The entry keeps offers for it up to
-  // the bound, then gives the link up instead of filling its memory.
+  // An agent hangs while its connection stays open. The entry queues offers up to the limit, then
+  // closes the link instead of running out of memory.
   const sessions = new Set<http2.ServerHttp2Session>();
   const server = http2.createServer((request) => request.pause());
   server.on('session', (session) => sessions.add(session));
@@ -47,7 +47,7 @@
   const client = linkClient.openLinkClient({
     address: `127.0.0.1:${port}`,
     receive: () => undefined,
-    closed: () => ended.give(),
+    closed: () => ended.fulfil(),
     maxWaitingBytes: MAX_WAITING_BYTES,
   });
   const timer = setInterval(() => client.send(buildOffer()), 1);
@@ -56,16 +56,16 @@
 });
 
 nodeTest.test('entry that does not read', async (context) => {
-  // An entry hangs while an answer comes. The agent keeps parts for it up to the
-  // bound, gives the link up, and keeps the answer itself for the next link.
+  // An entry hangs while the agent sends it a response. The agent queues parts up to the limit,
+  // then closes the link; it keeps the response itself for the next link.
   const opened = createSignal<number>();
   const ended = createSignal<number>();
   const server = await linkServer.startLinkServer({
     host: '127.0.0.1',
     port: 0,
-    opened: opened.give,
+    opened: opened.fulfil,
     receive: () => undefined,
-    closed: ended.give,
+    closed: ended.fulfil,
     maxWaitingBytes: MAX_WAITING_BYTES,
   });
   const baseUrl = `http://127.0.0.1:${server.port}`;
--- a/packages/runtime/src/link-outbox.ts
+++ b/packages/runtime/src/link-outbox.ts
@@ -1,41 +1,41 @@
-/** Messages of one link that wait to be sent, bounded in bytes. */
+/** Send queue of one link, limited in bytes. */
 import * as stream from 'node:stream';
 import * as schema from '@toucanproxy/schema';
 
 /**
- * Bytes that may wait on one link. A peer that reads slowly or not at all would
- * otherwise make this process keep everything for it until its memory ends.
- * Beyond the bound the link is given up; requests are resumed over the next.
+ * Maximum number of bytes that wait on one link. Without a limit, a peer that reads slowly or not
+ * at all would make this process run out of memory. When the limit is exceeded, the link is closed
+ * and its requests are resumed over the next one.
  */
 const MAX_WAITING_BYTES = 32 * 1024 * 1024;
 
-/** Counted for each message besides the bytes that it carries. */
-const MESSAGE_BYTES = 256;
+/** Fixed size that is counted for each message in addition to its payload, bytes. */
+const MESSAGE_OVERHEAD_BYTES = 256;
 
 type Message = schema.EntryMessage | schema.AgentMessage;
 
 export type LinkOutbox<T extends Message> = {
-  /** False where the message does not fit; the link is to be given up. */
+  /** Adds a message; returns false if it does not fit, and the link must then be closed. */
   push: (message: T) => boolean;
-  /** The messages in order, counted as sent when taken. */
+  /** The messages in order; a message counts as sent once it is read from here. */
   messages: AsyncIterable<T>;
   close: () => void;
 };
 
-/** Estimates what a message takes in memory, bytes. */
+/** Estimates the memory that a message occupies, bytes. */
 function estimateBytes(message: Message): number {
   const { body } = message;
   switch (body.case) {
     case 'offer':
-      return MESSAGE_BYTES + body.value.payload.length;
+      return MESSAGE_OVERHEAD_BYTES + body.value.payload.length;
     case 'documentBody':
-      return MESSAGE_BYTES + body.value.json.length;
+      return MESSAGE_OVERHEAD_BYTES + body.value.json.length;
     case 'part': {
       const { content } = body.value;
-      return MESSAGE_BYTES + (content.case === 'data' ? content.value.length : 0);
+      return MESSAGE_OVERHEAD_BYTES + (content.case === 'data' ? content.value.length : 0);
     }
     default:
-      return MESSAGE_BYTES;
+      return MESSAGE_OVERHEAD_BYTES;
   }
 }
 
--- a/packages/runtime/src/link-server.ts
+++ b/packages/runtime/src/link-server.ts
@@ -1,4 +1,4 @@
-/** The agent's end of links. */
+/** The agent's side of links. */
 import * as http2 from 'node:http2';
 import * as net from 'node:net';
 import * as connectNode from '@connectrpc/connect-node';
@@ -13,7 +13,7 @@
   stop: () => void;
 };
 
-/** Silence after which a connection is closed, milliseconds. */
+/** A connection without traffic for this time is closed, milliseconds. */
 const SESSION_TIMEOUT_MS = 30_000;
 
 type LinkServerOptions = {
@@ -22,7 +22,7 @@
   opened: (linkId: number) => void;
   receive: (linkId: number, message: schema.EntryMessage) => void;
   closed: (linkId: number) => void;
-  /** Bytes that may wait to be sent on one link; the default where left out. */
+  /** Maximum number of bytes that wait to be sent on one link; optional. */
   maxWaitingBytes?: number;
 };
 
@@ -38,7 +38,7 @@
   }
 }
 
-/** Starts to listen. */
+/** Starts listening for links. */
 export async function startLinkServer(options: LinkServerOptions): Promise<LinkServer> {
   const links = new Map<number, OpenLink>();
   const sessions = new Set<http2.ServerHttp2Session>();
@@ -79,9 +79,9 @@
   const server = http2.createServer(handler);
   server.on('session', (session) => {
     sessions.add(session);
-    // A link that was given up as silent leaves its connection behind: the
-    // peer's end of it is lost and no close will come. Links in use carry
-    // heartbeats far more often than this.
+    // A link that was closed as unresponsive leaves its connection open: the peer's side of it is
+    // lost, and no close event arrives. Links in use carry heartbeats far more often than this
+    // timeout.
     session.setTimeout(SESSION_TIMEOUT_MS, () => session.destroy());
     session.on('error', () => session.destroy());
     session.on('close', () => sessions.delete(session));
--- a/packages/runtime/src/log-output.ts
+++ b/packages/runtime/src/log-output.ts
@@ -1,43 +1,43 @@
 /**
- * Where log lines go: standard output, with a bound.
+ * Writes log lines to standard output with a limit on the buffered bytes.
  *
- * A reader that stalls fills the pipe, and what is written after that is kept in
- * memory. Without a bound the process would grow until it is killed. Beyond the
- * bound lines are dropped, and their number is told once there is room again.
+ * When the reader of the log stalls, the pipe fills up and Node.js buffers further lines in memory.
+ * Without a limit the process would grow until it is killed. Above the limit lines are dropped, and
+ * their number is reported once lines can be written again.
  *
- * Each line leaves at once. Gathered for some milliseconds they would be lost with
- * a process that is killed, just those that tell what it did last.
+ * Each line is written at once. If lines were batched for some milliseconds, a process that is
+ * killed would lose the lines about what it did last.
  */
 
-/** The part of a writable stream that is used; standard output is one. */
+/** The part of a writable stream that is used here; `process.stdout` has it. */
 export type LogSink = {
   write: (text: string) => unknown;
-  /** Bytes that were written and have not left yet. */
+  /** Number of bytes that are buffered and not written out yet. */
   writableLength: number;
 };
 
 export type LogOutput = { write: (line: string) => void };
 
-/** Kept for a reader that has stalled, bytes: ten seconds at 400 lines a second. */
-const MAX_KEPT_BYTES = 1_048_576;
+/** Limit of buffered bytes; enough for a stall of ten seconds at 400 lines per second. */
+const MAX_BUFFERED_BYTES = 1_048_576;
 
 /**
- * Creates an output over a sink.
+ * Creates a log output that writes to a sink.
  *
- * @param reportDropped told how many lines were dropped, once lines leave again
+ * @param reportDropped called with the number of dropped lines once lines can be written again
  */
 export function createLogOutput(sink: LogSink, reportDropped: (lines: number) => void): LogOutput {
   let dropped = 0;
   return {
     write: (line) => {
-      if (sink.writableLength > MAX_KEPT_BYTES) {
+      if (sink.writableLength > MAX_BUFFERED_BYTES) {
         dropped += 1;
         return;
       }
       if (dropped > 0) {
-        const told = dropped;
+        const lines = dropped;
         dropped = 0;
-        reportDropped(told);
+        reportDropped(lines);
       }
       sink.write(line);
     },
--- a/packages/runtime/src/logger.ts
+++ b/packages/runtime/src/logger.ts
@@ -1,4 +1,4 @@
-/** Log lines as JSON on standard output. */
+/** Writes log lines as JSON to standard output. */
 import * as bunyan from 'bunyan';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
@@ -12,7 +12,7 @@
   [schema.LogLevel.ERROR]: 'error',
 };
 
-/** Creates the log of one process. */
+/** Creates the logger of one process. */
 export function createLogger(name: string, fields: Record<string, unknown>): bunyan {
   const direct = bunyan.createLogger({ name, ...fields });
   const output = logOutput.createLogOutput(process.stdout, (lines) =>
@@ -23,20 +23,20 @@
 }
 
 /**
- * Sets the least level that is written, from the documents in force.
+ * Sets the minimum level that is logged, from the active documents.
  *
- * A process with several documents follows the most talkative one, so that
- * none of their owners misses lines that were asked for.
+ * A process with several documents uses the lowest level of all of them, so that the owner of each
+ * document gets the lines that it requests.
  */
 export function applyLogLevel(logger: bunyan, documents: core.DocumentStore): void {
   const levels = [...documents.values()].map(
     ({ document }) => document.logLevel || schema.LogLevel.INFO,
   );
-  const least = levels.length === 0 ? schema.LogLevel.INFO : Math.min(...levels);
-  logger.level(LEVELS[least as schema.LogLevel]);
+  const minLevel = levels.length === 0 ? schema.LogLevel.INFO : Math.min(...levels);
+  logger.level(LEVELS[minLevel as schema.LogLevel]);
 }
 
-/** Writes one line that a core asked for. */
+/** Writes the line of a log effect. */
 export function writeLog(logger: bunyan, line: core.LogEffect): void {
   logger[LEVELS[line.level] as 'info']({ event: line.event, ...line.fields }, line.event);
 }
--- a/packages/runtime/src/metric-definitions.ts
+++ b/packages/runtime/src/metric-definitions.ts
@@ -1,4 +1,4 @@
-/** The metrics by name: what each counts and of which type it is. */
+/** Type and help text of each metric. */
 
 export enum MetricType {
   COUNTER = 'counter',
@@ -8,7 +8,7 @@
 
 export type MetricDefinition = { type: MetricType; help: string };
 
-/** Names without the prefix `toucanproxy_`. */
+/** By name, without the prefix `toucanproxy_`. */
 export const METRIC_DEFINITIONS: Record<string, MetricDefinition> = {
   requests_total: {
     type: MetricType.COUNTER,
--- a/packages/runtime/src/metrics.test.ts
+++ b/packages/runtime/src/metrics.test.ts
@@ -7,14 +7,14 @@
 const SERIES = { service: 'brimwit', tier: 'stall' };
 
 nodeTest.test('goodput and shed by tier', () => {
-  const counted = metrics.createMetrics();
+  const recorded = metrics.createMetrics();
   const observe = (code: schema.ResultCode, inTime: boolean, service = 'brimwit') =>
-    metrics.recordObservation(counted, { kind: 'outcome', ...SERIES, service, code, inTime });
+    metrics.recordObservation(recorded, { kind: 'outcome', ...SERIES, service, code, inTime });
   observe(schema.ResultCode.COMPLETED, true);
   observe(schema.ResultCode.COMPLETED, false);
   observe(schema.ResultCode.SHED, true);
   observe(schema.ResultCode.UNKNOWN_SERVICE, false, 'any-text');
-  const text = metrics.renderMetrics(counted, 0);
+  const text = metrics.renderMetrics(recorded, 0);
   const lines = text.split('\n');
   assert.ok(lines.includes('toucanproxy_goodput_total{service="brimwit",tier="stall"} 1'));
   assert.ok(
@@ -23,16 +23,16 @@
   assert.doesNotMatch(text, /any-text/);
 });
 
-nodeTest.test('each metric has its head once, before its lines', () => {
-  const counted = metrics.createMetrics();
-  metrics.recordObservation(counted, { kind: 'firstByte', ...SERIES, ms: 12 });
-  metrics.recordObservation(counted, { kind: 'queueWait', tier: '0', ms: 3 });
-  metrics.addCount(counted, 'callers_cut_total', {});
+nodeTest.test('each metric has its header once, before its samples', () => {
+  const recorded = metrics.createMetrics();
+  metrics.recordObservation(recorded, { kind: 'firstByte', ...SERIES, ms: 12 });
+  metrics.recordObservation(recorded, { kind: 'queueWait', tier: '0', ms: 3 });
+  metrics.addCount(recorded, 'callers_cut_total', {});
   const gauge = { name: 'document_version', labels: { service: 'brimwit' }, value: 7 };
-  const lines = metrics.renderMetrics(counted, 0, [gauge]).trim().split('\n');
-  const heads = lines.filter((line) => line.startsWith('# TYPE '));
-  assert.equal(new Set(heads).size, heads.length);
-  const names = heads.map((line) => line.split(' ')[2]);
+  const lines = metrics.renderMetrics(recorded, 0, [gauge]).trim().split('\n');
+  const headers = lines.filter((line) => line.startsWith('# TYPE '));
+  assert.equal(new Set(headers).size, headers.length);
+  const names = headers.map((line) => line.split(' ')[2]);
   lines
     .filter((line) => !line.startsWith('#'))
     .forEach((line) => {
@@ -43,13 +43,13 @@
   assert.ok(lines.includes('toucanproxy_document_version{service="brimwit"} 7'));
 });
 
-nodeTest.test('quantiles forget, counts do not', () => {
-  const counted = metrics.createMetrics();
-  metrics.recordObservation(counted, { kind: 'queueWait', tier: '0', ms: 500 });
-  const first = metrics.renderMetrics(counted, MINUTE_MS);
+nodeTest.test('quantiles cover recent time only, counts all time', () => {
+  const recorded = metrics.createMetrics();
+  metrics.recordObservation(recorded, { kind: 'queueWait', tier: '0', ms: 500 });
+  const first = metrics.renderMetrics(recorded, MINUTE_MS);
   assert.match(first, /queue_wait_ms\{tier="0",quantile="0.5"\} 5\d\d/);
-  metrics.renderMetrics(counted, 2 * MINUTE_MS);
-  const last = metrics.renderMetrics(counted, 3 * MINUTE_MS);
+  metrics.renderMetrics(recorded, 2 * MINUTE_MS);
+  const last = metrics.renderMetrics(recorded, 3 * MINUTE_MS);
   assert.match(last, /queue_wait_ms\{tier="0",quantile="0.5"\} 0/);
   assert.match(last, /queue_wait_ms_count\{tier="0"\} 1/);
   assert.match(last, /queue_wait_ms_sum\{tier="0"\} 500/);
--- a/packages/runtime/src/metrics.ts
+++ b/packages/runtime/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Counts and times of one process, in the usual text format. */
+/** Counters and duration summaries of one process, rendered in the Prometheus text format. */
 import * as hdr from 'hdr-histogram-js';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
@@ -6,34 +6,36 @@
 
 export type Labels = Record<string, string>;
 
-/** A value that is read when the metrics are rendered. */
+/** A value that is determined when the metrics are rendered. */
 export type Gauge = { name: string; labels: Labels; value: number };
 
-/** Times of one metric and one set of labels, milliseconds. */
-type Times = {
-  /** Since the last rotation, and in the period before it. */
-  recent: hdr.Histogram;
-  earlier: hdr.Histogram;
-  /** Since the process started. */
+/** Durations of one metric and one set of labels, milliseconds. */
+type Summary = {
+  /** Durations since the last rotation, and in the period before it. */
+  current: hdr.Histogram;
+  previous: hdr.Histogram;
+  /** Number and sum of durations since the process started. */
   count: number;
   sum: number;
 };
 
 export type Metrics = {
+  /** By metric name, then by formatted labels. */
   counters: Map<string, Map<string, number>>;
-  times: Map<string, Map<string, Times>>;
+  /** By metric name, then by formatted labels. */
+  summaries: Map<string, Map<string, Summary>>;
   rotatedMs: number;
 };
 
 const PREFIX = 'toucanproxy_';
-const HIGHEST_MS = 3_600_000;
+const MAX_DURATION_MS = 3_600_000;
 const QUANTILES = [0.5, 0.95, 0.99];
 const PERCENT = 100;
-/** Quantiles cover one to two such periods, milliseconds. */
+/** Period after which summaries rotate, ms; quantiles cover one to two periods. */
 const ROTATION_MS = 60_000;
 const MICROSECONDS_PER_SECOND = 1_000_000;
 
-/** Results that say there was no capacity. */
+/** Results that mean a lack of capacity. */
 const SHED_CODES = new Set([
   schema.ResultCode.SHED,
   schema.ResultCode.DEADLINE_UNREACHABLE,
@@ -45,16 +47,16 @@
 
 /** Creates empty metrics. */
 export function createMetrics(): Metrics {
-  return { counters: new Map(), times: new Map(), rotatedMs: 0 };
+  return { counters: new Map(), summaries: new Map(), rotatedMs: 0 };
 }
 
-/** Formats labels; their order is that of the call. */
+/** Formats labels in the order in which they are given. */
 function formatLabels(labels: Labels): string {
   const inner = Object.entries(labels).map(([key, value]) => `${key}=${JSON.stringify(value)}`);
   return inner.length === 0 ? '' : `{${inner.join(',')}}`;
 }
 
-/** Gets the series of a metric. */
+/** Returns the series of a metric, by formatted labels; creates them if necessary. */
 function getSeries<T>(all: Map<string, Map<string, T>>, name: string): Map<string, T> {
   const series = all.get(name) ?? new Map<string, T>();
   all.set(name, series);
@@ -70,28 +72,28 @@
 
 /** Builds an empty histogram. */
 function buildHistogram(): hdr.Histogram {
-  return hdr.build({ highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: 2 });
+  return hdr.build({ highestTrackableValue: MAX_DURATION_MS, numberOfSignificantValueDigits: 2 });
 }
 
-/** Gets the times of a set of labels, made where there are none. */
-function getTimes(series: Map<string, Times>, key: string): Times {
+/** Returns the summary for a set of labels; creates it if necessary. */
+function getSummary(series: Map<string, Summary>, key: string): Summary {
   const known = series.get(key);
   if (known !== undefined) {
     return known;
   }
-  const times = { recent: buildHistogram(), earlier: buildHistogram(), count: 0, sum: 0 };
-  series.set(key, times);
-  return times;
+  const summary = { current: buildHistogram(), previous: buildHistogram(), count: 0, sum: 0 };
+  series.set(key, summary);
+  return summary;
 }
 
-/** Records a time in milliseconds. */
-function recordMs(metrics: Metrics, name: string, labels: Labels, ms: number): void {
-  const series = getSeries(metrics.times, name);
-  const times = getTimes(series, formatLabels(labels));
-  const value = Math.min(Math.max(Math.round(ms), 0), HIGHEST_MS);
-  times.recent.recordValue(value);
-  times.count += 1;
-  times.sum += value;
+/** Records a duration, milliseconds. */
+function recordDuration(metrics: Metrics, name: string, labels: Labels, ms: number): void {
+  const series = getSeries(metrics.summaries, name);
+  const summary = getSummary(series, formatLabels(labels));
+  const value = Math.min(Math.max(Math.round(ms), 0), MAX_DURATION_MS);
+  summary.current.recordValue(value);
+  summary.count += 1;
+  summary.sum += value;
 }
 
 /** Counts how a request ended. */
@@ -100,8 +102,8 @@
   outcome: Extract<core.Observation, { kind: 'outcome' }>,
 ): void {
   const { tier, code, inTime } = outcome;
-  // A caller may name any service. As a label each name would take memory here
-  // and in every system that reads the metrics.
+  // A caller can send any service name. If each were a label value, it would occupy memory here and
+  // in every system that collects the metrics.
   const service = code === schema.ResultCode.UNKNOWN_SERVICE ? '' : outcome.service;
   const result = schema.ResultCode[code];
   addCount(metrics, 'requests_total', { service, tier, result, in_time: String(inTime) });
@@ -121,11 +123,11 @@
       return;
     case 'firstByte': {
       const { service, tier, ms } = observation;
-      recordMs(metrics, 'first_byte_ms', { service, tier }, ms);
+      recordDuration(metrics, 'first_byte_ms', { service, tier }, ms);
       return;
     }
     case 'queueWait':
-      recordMs(metrics, 'queue_wait_ms', { tier: observation.tier }, observation.ms);
+      recordDuration(metrics, 'queue_wait_ms', { tier: observation.tier }, observation.ms);
       return;
     case 'wastedPrefill': {
       const { cause, tokens } = observation;
@@ -140,58 +142,58 @@
   }
 }
 
-/** Begins a new period for quantiles where the present one is over. */
+/** Starts a new period for quantiles if the current one is over. */
 function updatePeriods(metrics: Metrics, now: number): void {
   if (now - metrics.rotatedMs < ROTATION_MS) {
     return;
   }
   metrics.rotatedMs = now;
-  metrics.times.forEach((series) =>
-    series.forEach((times) => {
-      times.earlier.destroy();
-      times.earlier = times.recent;
-      times.recent = buildHistogram();
+  metrics.summaries.forEach((series) =>
+    series.forEach((summary) => {
+      summary.previous.destroy();
+      summary.previous = summary.current;
+      summary.current = buildHistogram();
     }),
   );
 }
 
-/** Renders the head of a metric. */
-function renderHead(name: string): string[] {
+/** Renders the header lines of a metric. */
+function renderHeader(name: string): string[] {
   const definition = metricDefinitions.METRIC_DEFINITIONS[name];
   return definition === undefined
     ? []
     : [`# HELP ${PREFIX}${name} ${definition.help}`, `# TYPE ${PREFIX}${name} ${definition.type}`];
 }
 
-/** Renders the times of one set of labels. */
-function renderTimes(name: string, labels: string, times: Times): string[] {
-  const both = buildHistogram();
-  both.add(times.recent);
-  both.add(times.earlier);
+/** Renders the summary for one set of labels. */
+function renderSummary(name: string, labels: string, summary: Summary): string[] {
+  const combined = buildHistogram();
+  combined.add(summary.current);
+  combined.add(summary.previous);
   const inner = labels === '' ? '' : `${labels.slice(1, -1)},`;
   const quantiles = QUANTILES.map((quantile) => {
-    const value = both.getValueAtPercentile(quantile * PERCENT);
+    const value = combined.getValueAtPercentile(quantile * PERCENT);
     return `${PREFIX}${name}{${inner}quantile="${quantile}"} ${value}`;
   });
-  both.destroy();
+  combined.destroy();
   return [
     ...quantiles,
-    `${PREFIX}${name}_sum${labels} ${times.sum}`,
-    `${PREFIX}${name}_count${labels} ${times.count}`,
+    `${PREFIX}${name}_sum${labels} ${summary.sum}`,
+    `${PREFIX}${name}_count${labels} ${summary.count}`,
   ];
 }
 
-/** Renders counters and gauges, a metric at a time. */
+/** Renders counters and gauges, grouped by metric. */
 function renderValues(all: Map<string, Map<string, number>>): string[] {
   return [...all]
     .sort(([a], [b]) => (a < b ? -1 : 1))
     .flatMap(([name, series]) => {
       const lines = [...series].map(([labels, value]) => `${PREFIX}${name}${labels} ${value}`);
-      return [...renderHead(name), ...lines.sort()];
+      return [...renderHeader(name), ...lines.sort()];
     });
 }
 
-/** Lists what every process tells of itself. */
+/** Lists the metrics of the process itself. */
 function listProcessGauges(): Gauge[] {
   const { user, system } = process.cpuUsage();
   const seconds = (user + system) / MICROSECONDS_PER_SECOND;
@@ -202,9 +204,9 @@
 }
 
 /**
- * Renders everything as text, a line each.
+ * Renders all metrics as text.
  *
- * @param now present time, milliseconds since the Unix epoch
+ * @param now current time, milliseconds since the Unix epoch
  */
 export function renderMetrics(metrics: Metrics, now: number, gauges: Gauge[] = []): string {
   updatePeriods(metrics, now);
@@ -212,9 +214,9 @@
   [...gauges, ...listProcessGauges()].forEach(({ name, labels, value }) =>
     getSeries(values, name).set(formatLabels(labels), value),
   );
-  const times = [...metrics.times].flatMap(([name, series]) => [
-    ...renderHead(name),
-    ...[...series].flatMap(([labels, one]) => renderTimes(name, labels, one)),
+  const summaries = [...metrics.summaries].flatMap(([name, series]) => [
+    ...renderHeader(name),
+    ...[...series].flatMap(([labels, summary]) => renderSummary(name, labels, summary)),
   ]);
-  return `${[...renderValues(values), ...times].join('\n')}\n`;
+  return `${[...renderValues(values), ...summaries].join('\n')}\n`;
 }
--- a/packages/runtime/src/operator-server.ts
+++ b/packages/runtime/src/operator-server.ts
@@ -1,4 +1,4 @@
-/** The port for operators: metrics, status and health. */
+/** HTTP server for operators: metrics, status and health. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 
@@ -9,9 +9,9 @@
   port: number;
   renderMetrics: () => string;
   describeStatus: () => unknown;
-  /** False once the process takes no new work. */
+  /** Returns false once the process accepts no new work. */
   isReady?: () => boolean;
-  /** Where the platform's balancer asks, besides `/health`. */
+  /** Path that the platform's load balancer checks, in addition to `/health`. */
   readinessPath?: string;
 };
 
@@ -19,12 +19,12 @@
 const TEXT = { 'content-type': 'text/plain; version=0.0.4' };
 const JSON_TYPE = { 'content-type': 'application/json' };
 
-/** Says whether the platform's balancer may send work here. */
+/** Responds whether the platform's load balancer may send work here. */
 function serveHealth(response: http.ServerResponse, isReady: boolean): void {
   response.writeHead(isReady ? 200 : 503, TEXT).end(isReady ? 'ok\n' : 'leaving\n');
 }
 
-/** Starts to listen. */
+/** Starts listening. */
 export async function startOperatorServer(options: OperatorServerOptions): Promise<OperatorServer> {
   const server = http.createServer((request, response) => {
     const isReadiness = request.url === (options.readinessPath ?? HEALTH_PATH);
--- a/packages/runtime/src/vm-list-poll.ts
+++ b/packages/runtime/src/vm-list-poll.ts
@@ -1,14 +1,17 @@
-/** The task that reads the platform's list of VMs. The list lags. */
+/** Polls the platform's list of VMs for those that are leaving. The list lags behind. */
 import * as undici from 'undici';
 
-/** The list lags anyway; what an agent says of itself comes first. */
+/**
+ * Minimum interval between polls, milliseconds. Polling more often would gain little: the list
+ * lags, and what an agent reports about itself takes precedence.
+ */
 const POLL_MIN_MS = 3000;
 const POLL_SPREAD_MS = 2000;
-const ANSWER_MS = 2000;
+const RESPONSE_TIMEOUT_MS = 2000;
 
 type VmListOptions = {
   vmListUrl: string;
-  /** Takes the addresses of VMs that are leaving. */
+  /** Called with the addresses of VMs that are leaving. */
   receiveLeaving: (addresses: string[]) => void;
   reportFailure: (reason: string) => void;
   drawRandom: () => number;
@@ -20,18 +23,18 @@
 
 /** Reads the list once. */
 async function readList(options: VmListOptions): Promise<void> {
-  const signal = AbortSignal.timeout(ANSWER_MS);
+  const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MS);
   const response = await undici.request(options.vmListUrl, { signal });
   if (response.statusCode !== 200) {
     await response.body.dump();
-    throw new Error(`VM list answered ${response.statusCode}`);
+    throw new Error(`VM list responded with status ${response.statusCode}`);
   }
   const list = (await response.body.json()) as { vms: VmListEntry[] };
   const leaving = list.vms.filter((vm) => vm.state === 'leaving').map((vm) => vm.address);
   options.receiveLeaving(leaving);
 }
 
-/** Starts reading the list; nothing to do where the platform has none. */
+/** Starts polling; does nothing if the platform has no VM list. */
 export function startVmListPoll(options: VmListOptions): VmListPoll {
   let timer: NodeJS.Timeout | undefined;
   let stopped = false;
