--- a/packages/agent/src/app.ts
+++ b/packages/agent/src/app.ts
@@ -63,9 +63,9 @@
   return runtime.startLinkServer({
     host: settings.links?.host ?? DEFAULT_HOST,
     port: settings.links?.port ?? 0,
-    opened: (linkId) => task.post({ kind: 'linkOpened', linkId }),
+    onOpened: (linkId) => task.post({ kind: 'linkOpened', linkId }),
     receive: (linkId, message) => task.post({ kind: 'entryMessage', linkId, message }),
-    closed: (linkId) => task.post({ kind: 'linkClosed', linkId }),
+    onClosed: (linkId) => task.post({ kind: 'linkClosed', linkId }),
   });
 }
 
--- a/packages/agent/src/gauges.ts
+++ b/packages/agent/src/gauges.ts
@@ -4,7 +4,7 @@
 import * as status from './status.js';
 
 /** Lists every gauge of an agent. */
-export function listGauges(state: core.AgentState): runtime.Gauge[] {
+export function listGauges(state: core.AgentState): runtime.MetricSample[] {
   const { service } = state;
   const version = core.getVersion(state.documents, service);
   return [
--- a/packages/core/src/agent/admission.ts
+++ b/packages/core/src/agent/admission.ts
@@ -56,7 +56,7 @@
 
 /** Makes room in a full queue at the cost of less urgent work. */
 function evictLessUrgent(state: agentState.AgentState, tierRank: number, now: number): Effects {
-  const item = startQueue.findLessUrgent(state.queue, tierRank);
+  const item = startQueue.findEvictionCandidate(state.queue, tierRank);
   if (item !== undefined) {
     return refusals.refuseItem(state, item, schema.ResultCode.EVICTED, now);
   }
@@ -74,7 +74,7 @@
 /** Asserts that nothing less urgent waits while a demand is refused for want of room. */
 function assertNoneLessUrgent(state: agentState.AgentState, tierRank: number): Effects {
   const broken =
-    startQueue.findLessUrgent(state.queue, tierRank) !== undefined ||
+    startQueue.findEvictionCandidate(state.queue, tierRank) !== undefined ||
     findLessUrgentHold(state, tierRank) !== undefined;
   return broken
     ? [effect.observe({ kind: 'invariantBroken', name: 'shed-before-less-urgent' })]
--- a/packages/core/src/agent/entry-links.ts
+++ b/packages/core/src/agent/entry-links.ts
@@ -70,7 +70,7 @@
   const conflict = documentStore.noteVersion(state.documents, heartbeat.document);
   const theirs = heartbeat.document?.version ?? 0;
   const newer = theirs > documentStore.getVersion(state.documents, state.service);
-  if (!newer || !documentStore.noteNewer(state.newerSeen, state.service, theirs, now)) {
+  if (!newer || !documentStore.noteNewerVersion(state.newerSeen, state.service, theirs, now)) {
     return conflict;
   }
   const request = schema.create(schema.DocumentRequestSchema, { service: state.service });
--- a/packages/core/src/agent/leaving.ts
+++ b/packages/core/src/agent/leaving.ts
@@ -40,7 +40,7 @@
     return [];
   }
   if (!documentStore.storeDocument(state.documents, stored)) {
-    return documentStore.noteRefused(state.documents, stored);
+    return documentStore.noteRefusedDocument(state.documents, stored);
   }
   const own = document.backendServers.find((server) => server.id === state.backendServerId);
   state.documentLeaving = own === undefined || own.state >= schema.BackendServerState.LEAVING;
--- a/packages/core/src/agent/offers.ts
+++ b/packages/core/src/agent/offers.ts
@@ -123,7 +123,7 @@
   if (known !== undefined) {
     return known;
   }
-  if (!keyRetention.isRemembered(agentState.getTiming(state), issuedMs, now)) {
+  if (!keyRetention.isRecordRetained(agentState.getTiming(state), issuedMs, now)) {
     return undefined;
   }
   const tombstone = runRecord.makeRunRecord(refKey, ref, undefined, now);
--- a/packages/core/src/entry/accounts.ts
+++ b/packages/core/src/entry/accounts.ts
@@ -5,7 +5,7 @@
 import * as startQueue from '../shared/start-queue.js';
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as priorityHeap from '../shared/priority-heap.js';
-import * as drainRate from '../shared/drain-rate.js';
+import * as queueThroughput from '../shared/queue-throughput.js';
 import * as entryState from './entry-state.js';
 import * as heldAttempts from './held-attempts.js';
 import * as serviceState from './service-state.js';
@@ -149,7 +149,7 @@
 
 /** Tells whether the entry holds unstarted requests that are less urgent than a tier. */
 export function hasLessUrgent(service: serviceState.ServiceState, tierRank: number): boolean {
-  return startQueue.findLessUrgent(service.unstarted, tierRank) !== undefined;
+  return startQueue.findEvictionCandidate(service.unstarted, tierRank) !== undefined;
 }
 
 /** Notes that a request may have started, or that its agent was asked to give it up. */
@@ -172,7 +172,7 @@
   request.startedMs = now;
   endUnstarted(state, request);
   const { drain } = getServiceOf(state, request);
-  drainRate.noteStart(drain, request.arrived.estimatedTokens, request.arrivedMs, now);
+  queueThroughput.noteStart(drain, request.arrived.estimatedTokens, request.arrivedMs, now);
 }
 
 /** Notes that an agent holds a request from now on. */
--- a/packages/core/src/entry/admission.ts
+++ b/packages/core/src/entry/admission.ts
@@ -138,7 +138,7 @@
   now: number,
 ): outcomes.Failure | undefined {
   const { clockSkewMs } = entryState.getTiming(state, arrived.service);
-  const aheadMs = keyTime.readKeyTime(arrived.key) - now;
+  const aheadMs = keyTime.parseKeyIssueTime(arrived.key) - now;
   if (arrived.key.length > MAX_KEY_LENGTH || aheadMs > 2 * clockSkewMs) {
     return outcomes.buildNotRun(schema.ResultCode.KEY_INVALID);
   }
--- a/packages/core/src/entry/agent-links.test.ts
+++ b/packages/core/src/entry/agent-links.test.ts
@@ -19,14 +19,14 @@
   // caller gets the whole answer of the one run.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
-  fleet.silent = true;
+  fleet.isPartitioned = true;
   smallFleet.completeRun(fleet, 0);
-  smallFleet.passTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, SILENCE_MS);
   assert.equal(getView(fleet, 'a').linked, false);
   assert.equal(fleet.agents.get('a')?.links.size, 0);
-  fleet.silent = false;
-  smallFleet.passTime(fleet, SILENCE_MS);
-  assert.equal(smallFleet.formatTold(fleet, 1), 'answer 0');
+  fleet.isPartitioned = false;
+  smallFleet.advanceTime(fleet, SILENCE_MS);
+  assert.equal(smallFleet.formatOutcome(fleet, 1), 'answer 0');
   assert.equal(fleet.dispatched.length, 1);
 });
 
@@ -40,7 +40,7 @@
   const view = getView(fleet, 'a');
   assert.equal(view.linked, false);
   assert.equal(view.address, 'elsewhere');
-  smallFleet.passTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, SILENCE_MS);
   assert.equal(getView(fleet, 'a').linked, true);
 });
 
@@ -50,12 +50,12 @@
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   smallFleet.applyToAgent(fleet, 'a', { kind: 'shutdownStarted' });
-  smallFleet.passMessages(fleet);
+  smallFleet.deliverMessages(fleet);
   assert.equal(getView(fleet, 'a').leaving, true);
   smallFleet.startAgent(fleet, 'a', 'a-life-2');
   const stored = smallFleet.buildDocument(['a']);
   smallFleet.applyToAgent(fleet, 'a', { kind: 'documentRead', stored });
-  smallFleet.passTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, SILENCE_MS);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   assert.equal(getView(fleet, 'a').leaving, false);
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
@@ -66,12 +66,12 @@
   // The list names a VM before this entry has met its agent. The first life
   // that it meets is the one that the list is taken to mean.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
-  fleet.silent = true;
-  smallFleet.passTime(fleet, SILENCE_MS);
+  fleet.isPartitioned = true;
+  smallFleet.advanceTime(fleet, SILENCE_MS);
   getView(fleet, 'a').agentLife = '';
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
-  fleet.silent = false;
-  smallFleet.passTime(fleet, SILENCE_MS);
+  fleet.isPartitioned = false;
+  smallFleet.advanceTime(fleet, SILENCE_MS);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   assert.equal(getView(fleet, 'a').leaving, true);
 });
@@ -86,14 +86,14 @@
   entry.linksPerService = 1;
   const stored = smallFleet.buildDocument(['a', 'b'], { version: 2 });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
-  smallFleet.passTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, SILENCE_MS);
   const other = views.find((view) => !view.kept);
   assert.equal(other?.linked, false);
   const keys = Array.from({ length: 20 }, (_, serial) => smallFleet.buildKey(fleet.now, serial));
   keys.forEach((key, index) => smallFleet.sendCall(fleet, 'e1', index, { key }));
   assert.equal(other?.linked, true);
   assert.ok(fleet.dispatched.every((line) => line.agentId !== other.backendServerId));
-  smallFleet.passTime(fleet, 2 * SILENCE_MS);
+  smallFleet.advanceTime(fleet, 2 * SILENCE_MS);
   assert.equal(other.linked, false);
 });
 
@@ -102,7 +102,7 @@
   const stored = smallFleet.buildDocument(['a', 'b'], { version: 2 });
   stored.document.backendServers[0].state = schema.BackendServerState.LEAVING;
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
-  smallFleet.passMessages(fleet);
+  smallFleet.deliverMessages(fleet);
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
   assert.deepEqual(
     fleet.dispatched.map((line) => line.agentId),
--- a/packages/core/src/entry/agent-links.ts
+++ b/packages/core/src/entry/agent-links.ts
@@ -100,7 +100,7 @@
   const conflict = documentStore.noteVersion(state.documents, heartbeat.document);
   const theirs = heartbeat.document?.version ?? 0;
   const newer = theirs > documentStore.getVersion(state.documents, view.service);
-  const due = newer && documentStore.noteNewer(state.newerSeen, view.service, theirs, now);
+  const due = newer && documentStore.noteNewerVersion(state.newerSeen, view.service, theirs, now);
   const request = schema.create(schema.DocumentRequestSchema, { service: view.service });
   const ask = due
     ? [entryMessages.sendToAgent(backendServerId, { case: 'documentRequest', value: request })]
--- a/packages/core/src/entry/entry-state.ts
+++ b/packages/core/src/entry/entry-state.ts
@@ -224,7 +224,7 @@
   const newer = state.newerSeen.get(service);
   const version = documentStore.getVersion(state.documents, service);
   const waits = newer !== undefined && newer.version > version;
-  return waits && now - newer.sinceMs <= documentStore.DOCUMENT_ANSWER_MS;
+  return waits && now - newer.firstSeenMs <= documentStore.DOCUMENT_REPLY_TIMEOUT_MS;
 }
 
 /** Gets the timing of a service. */
--- a/packages/core/src/entry/handle-entry-event.ts
+++ b/packages/core/src/entry/handle-entry-event.ts
@@ -125,7 +125,7 @@
 ): Effects {
   const { document } = event.stored;
   if (!documentStore.storeDocument(state.documents, event.stored)) {
-    return documentStore.noteRefused(state.documents, event.stored);
+    return documentStore.noteRefusedDocument(state.documents, event.stored);
   }
   const service = entryState.getService(state, document.service);
   service.index = documentIndex.getDocumentIndex(document);
--- a/packages/core/src/entry/key-claim.ts
+++ b/packages/core/src/entry/key-claim.ts
@@ -42,7 +42,7 @@
   now: number,
 ): boolean {
   const timing = entryState.getTiming(state, request.arrived.service);
-  const keyMs = keyTime.readKeyTime(request.arrived.key);
+  const keyMs = keyTime.parseKeyIssueTime(request.arrived.key);
   return lost.some((id) => {
     const goneMs = state.goneSeenMs.get(id) ?? now;
     const issuedLater = keyMs > goneMs + 2 * timing.clockSkewMs;
@@ -61,7 +61,7 @@
     claimId: claim.claimId,
     workspace: request.workspace,
     key: arrived.key,
-    keyIssuedMs: keyTime.readKeyTime(arrived.key),
+    keyIssuedMs: keyTime.parseKeyIssueTime(arrived.key),
     contentDigest: arrived.contentDigest,
     ref: claim.ref,
     backendServerId: claim.backendServerId,
--- a/packages/core/src/entry/key-claims.test.ts
+++ b/packages/core/src/entry/key-claims.test.ts
@@ -31,11 +31,11 @@
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   smallFleet.completeRun(fleet, 0);
   smallFleet.sendCall(fleet, 'e2', 3, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
-  const told = [1, 2, 3].map((caller) => smallFleet.formatTold(fleet, caller));
+  smallFleet.advanceTime(fleet, WHILE_MS);
+  const told = [1, 2, 3].map((caller) => smallFleet.formatOutcome(fleet, caller));
   assert.deepEqual(told, ['answer 0', 'answer 0', 'answer 0']);
   assert.equal(fleet.dispatched.length, 1);
   // The places that were held for the resends go back to their agents.
@@ -49,11 +49,11 @@
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e1', 2, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'callerLeft', callerId: 1 });
-  smallFleet.passMessages(fleet);
+  smallFleet.deliverMessages(fleet);
   smallFleet.completeRun(fleet, 0);
-  assert.equal(smallFleet.formatTold(fleet, 2), 'answer 0');
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
   assert.equal(fleet.dispatched.length, 1);
   assert.equal(fleet.entries.get('e1')?.joins.size, 0);
 });
@@ -64,18 +64,18 @@
   // binding over; the late offer starts nothing.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
-  smallFleet.keepBack(fleet, 'e1', 'offer');
+  smallFleet.holdMessages(fleet, 'e1', 'offer');
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.equal(fleet.held.length, 1);
   smallFleet.releaseHeld(fleet);
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.equal(fleet.dispatched.length, 1);
   smallFleet.completeRun(fleet, 0);
-  assert.equal(smallFleet.formatTold(fleet, 2), 'answer 0');
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
   // The first entry was only slow: it reads the run of the resend.
-  assert.equal(smallFleet.formatTold(fleet, 1), 'answer 0');
+  assert.equal(smallFleet.formatOutcome(fleet, 1), 'answer 0');
 });
 
 nodeTest.test('resend while the offer is on its way', () => {
@@ -83,12 +83,12 @@
   // refuse the offer, and two entries could undo each other's attempts in turn.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
-  smallFleet.keepBack(fleet, 'e1', 'offer');
+  smallFleet.holdMessages(fleet, 'e1', 'offer');
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, 300);
+  smallFleet.advanceTime(fleet, 300);
   smallFleet.releaseHeld(fleet);
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.equal(fleet.dispatched.length, 1);
   assert.match(fleet.dispatched[0].refKey, /^e1-life-1-1#1$/);
 });
@@ -98,15 +98,15 @@
   // a resend whether the key was bound, so the resend is not dispatched.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
-  smallFleet.keepBack(fleet, 'e1', 'offer');
+  smallFleet.holdMessages(fleet, 'e1', 'offer');
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   const stored = smallFleet.buildDocument(AGENTS);
   smallFleet.startAgent(fleet, 'b', 'b-life-2');
   smallFleet.applyToAgent(fleet, 'b', { kind: 'documentRead', stored });
-  smallFleet.passTime(fleet, 4000);
+  smallFleet.advanceTime(fleet, 4000);
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
-  assert.equal(smallFleet.formatTold(fleet, 2), 'KEY_UNDECIDED MAY_HAVE_RUN');
+  smallFleet.advanceTime(fleet, WHILE_MS);
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'KEY_UNDECIDED MAY_HAVE_RUN');
   smallFleet.releaseHeld(fleet);
   assert.equal(fleet.dispatched.length, 1);
 });
@@ -122,16 +122,16 @@
     smallFleet.buildDocument(['a', 'b']),
   );
   smallFleet.applyToAgent(fleet, 'c', { kind: 'documentRead', stored: newer });
-  smallFleet.keepBack(fleet, 'e1', 'heartbeat');
+  smallFleet.holdMessages(fleet, 'e1', 'heartbeat');
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'documentRead', stored: newer });
-  smallFleet.passMessages(fleet);
+  smallFleet.deliverMessages(fleet);
   const key = makeKeyAt(fleet, ['b', 'c'], newer);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.equal(fleet.dispatched.length, 1);
   smallFleet.completeRun(fleet, 0);
-  assert.equal(smallFleet.formatTold(fleet, 2), 'answer 0');
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
 });
 
 nodeTest.test('home gone with its bindings', () => {
@@ -145,9 +145,9 @@
   stored.document.backendServers[1].goneInVersion = 2;
   stored.document.backendServers[1].state = schema.BackendServerState.GONE;
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'documentRead', stored });
-  smallFleet.passTime(fleet, 5000);
+  smallFleet.advanceTime(fleet, 5000);
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  assert.equal(smallFleet.formatTold(fleet, 2), 'KEY_UNDECIDED MAY_HAVE_RUN');
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'KEY_UNDECIDED MAY_HAVE_RUN');
   smallFleet.sendCall(fleet, 'e2', 3, { key: smallFleet.buildKey(fleet.now) });
   assert.equal(fleet.dispatched.length, 2);
 });
@@ -160,10 +160,10 @@
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   assert.equal(fleet.dispatched[0].agentId, 'a');
   smallFleet.startAgent(fleet, 'a', 'a-life-2');
-  smallFleet.passTime(fleet, 4000);
+  smallFleet.advanceTime(fleet, 4000);
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, 4000);
-  assert.equal(smallFleet.formatTold(fleet, 2), 'AGENT_RESTARTED MAY_HAVE_RUN');
+  smallFleet.advanceTime(fleet, 4000);
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'AGENT_RESTARTED MAY_HAVE_RUN');
   assert.equal(fleet.dispatched.length, 1);
 });
 
@@ -171,12 +171,12 @@
   // The home's answer is held up past its time. An order is not dispatched, a
   // query goes on without; the answers that come late are dropped and counted.
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
-  smallFleet.keepBack(fleet, 'e1', 'claimReply');
+  smallFleet.holdMessages(fleet, 'e1', 'claimReply');
   const [order, query] = [1, 2].map((serial) => smallFleet.buildKey(fleet.now, serial));
   smallFleet.sendCall(fleet, 'e1', 1, { key: order });
   smallFleet.sendCall(fleet, 'e1', 2, { key: query, path: '/look' });
-  smallFleet.passTime(fleet, WHILE_MS);
-  assert.equal(smallFleet.formatTold(fleet, 1), 'KEY_UNDECIDED MAY_HAVE_RUN');
+  smallFleet.advanceTime(fleet, WHILE_MS);
+  assert.equal(smallFleet.formatOutcome(fleet, 1), 'KEY_UNDECIDED MAY_HAVE_RUN');
   assert.equal(fleet.dispatched.length, 1);
   smallFleet.releaseHeld(fleet);
   assert.equal(fleet.dispatched.length, 1);
@@ -192,16 +192,16 @@
   // a later call opens the key again.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
-  smallFleet.keepBack(fleet, 'e1', 'claim');
+  smallFleet.holdMessages(fleet, 'e1', 'claim');
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'shutdownStarted' });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  assert.equal(smallFleet.formatTold(fleet, 2), 'SHUTTING_DOWN NOT_RUN');
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'SHUTTING_DOWN NOT_RUN');
   smallFleet.releaseHeld(fleet);
-  smallFleet.passTime(fleet, WHILE_MS);
-  assert.equal(smallFleet.formatTold(fleet, 1), 'CANCELLED NOT_RUN');
+  smallFleet.advanceTime(fleet, WHILE_MS);
+  assert.equal(smallFleet.formatOutcome(fleet, 1), 'CANCELLED NOT_RUN');
   assert.equal(fleet.dispatched.length, 0);
-  smallFleet.passTime(fleet, 4000);
+  smallFleet.advanceTime(fleet, 4000);
   smallFleet.sendCall(fleet, 'e1', 3, { key });
   assert.equal(fleet.dispatched.length, 1);
 });
@@ -214,16 +214,16 @@
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'shutdownStarted' });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   smallFleet.completeRun(fleet, 0);
-  assert.equal(smallFleet.formatTold(fleet, 2), 'answer 0');
+  assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
 });
 
 nodeTest.test('keys that cannot be used', () => {
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
   const ask = (callerId: number, key: string, contentDigest = 'digest') => {
     smallFleet.sendCall(fleet, 'e1', callerId, { key, contentDigest });
-    return smallFleet.formatTold(fleet, callerId);
+    return smallFleet.formatOutcome(fleet, callerId);
   };
   const key = smallFleet.buildKey(fleet.now);
   assert.equal(ask(1, key), '');
@@ -248,6 +248,6 @@
   smallFleet.applyToAgent(fleet, 'a', { kind: 'ticked' });
   assert.equal(fleet.agents.get('a')?.runs.size, 0);
   smallFleet.releaseHeld(fleet);
-  smallFleet.passTime(fleet, 4000);
-  assert.equal(smallFleet.formatTold(fleet, 1), 'KEY_UNDECIDED MAY_HAVE_RUN');
+  smallFleet.advanceTime(fleet, 4000);
+  assert.equal(smallFleet.formatOutcome(fleet, 1), 'KEY_UNDECIDED MAY_HAVE_RUN');
 });
--- a/packages/core/src/entry/parking.ts
+++ b/packages/core/src/entry/parking.ts
@@ -5,7 +5,7 @@
 import * as accounts from './accounts.js';
 import * as asking from './asking.js';
 import * as candidates from './candidates.js';
-import * as drainRate from '../shared/drain-rate.js';
+import * as queueThroughput from '../shared/queue-throughput.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
 import * as outcomes from './outcomes.js';
@@ -28,7 +28,7 @@
 ): Effects {
   const service = accounts.getServiceOf(state, request);
   const ahead = accounts.estimateTokensAhead(state, request);
-  const waitMs = drainRate.estimateWaitMs(service.drain, ahead);
+  const waitMs = queueThroughput.estimateWaitMs(service.drain, ahead);
   const unreachable =
     request.refusedBy.size > 0 && request.unreachableBy.size >= request.refusedBy.size;
   if (unreachable || now + waitMs >= request.deadlineMs) {
--- a/packages/core/src/entry/repeats.ts
+++ b/packages/core/src/entry/repeats.ts
@@ -62,7 +62,7 @@
   // A spent budget sheds load, and no urgent request is shed before less urgent
   // ones. Those that this entry holds make room for the repeat.
   const yields = accounts.hasLessUrgent(service, request.tierRank);
-  if (retryBudget.takeRepeat(service.retries, retryBudgetPercent, now) || yields) {
+  if (retryBudget.takeRetry(service.retries, retryBudgetPercent, now) || yields) {
     return beginPause(state, request, failure, now);
   }
   const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
--- a/packages/core/src/entry/service-state.ts
+++ b/packages/core/src/entry/service-state.ts
@@ -2,7 +2,7 @@
 import * as startQueue from '../shared/start-queue.js';
 import * as documentIndex from '../shared/document-index.js';
 import * as costModel from './cost-model.js';
-import * as drainRate from '../shared/drain-rate.js';
+import * as queueThroughput from '../shared/queue-throughput.js';
 import * as durationModel from './duration-model.js';
 import * as prefixMemory from './prefix-memory.js';
 import * as retryBudget from '../shared/retry-budget.js';
@@ -25,7 +25,7 @@
   unstarted: startQueue.StartQueue;
   /** Requests withdrawn from agents to make room; their agents have not replied. */
   withdrawnIds: Set<string>;
-  drain: drainRate.DrainRate;
+  drain: queueThroughput.QueueThroughput;
   retries: retryBudget.RetryBudget;
   costs: costModel.CostModel;
   durations: durationModel.DurationModel;
@@ -46,7 +46,7 @@
     parked: startQueue.createStartQueue(),
     unstarted: startQueue.createStartQueue(),
     withdrawnIds: new Set(),
-    drain: drainRate.createDrainRate(),
+    drain: queueThroughput.createQueueThroughput(),
     retries: retryBudget.createRetryBudget(),
     costs: new Map(),
     durations: new Map(),
--- a/packages/core/src/entry/shedding.ts
+++ b/packages/core/src/entry/shedding.ts
@@ -5,7 +5,7 @@
 import * as accounts from './accounts.js';
 import * as asking from './asking.js';
 import * as candidates from './candidates.js';
-import * as drainRate from '../shared/drain-rate.js';
+import * as queueThroughput from '../shared/queue-throughput.js';
 import * as entryEvent from './entry-event.js';
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
@@ -22,7 +22,7 @@
   tierRank: number,
 ): number {
   const ahead = accounts.countAhead(service, tierRank);
-  return drainRate.drawRetryAfter(service.drain, ahead, state.policy.drawRandom);
+  return queueThroughput.drawRetryAfter(service.drain, ahead, state.policy.drawRandom);
 }
 
 /** Ends a waiting request so that others find room. */
@@ -98,7 +98,7 @@
   service: serviceState.ServiceState,
   now: number,
 ): Step {
-  const victim = startQueue.findLessUrgent(service.unstarted, -1);
+  const victim = startQueue.findEvictionCandidate(service.unstarted, -1);
   const request = victim && state.requests.get(victim.id);
   if (request === undefined) {
     return { effects: [], madeRoom: false };
--- a/packages/core/src/gateway/ask-messages.ts
+++ b/packages/core/src/gateway/ask-messages.ts
@@ -6,8 +6,8 @@
  */
 import * as schema from '@toucanproxy/schema';
 import * as allowedDomains from './allowed-domains.js';
-import * as asking from './asking.js';
-import * as fleetSplit from './fleet-split.js';
+import * as pendingAsks from './pending-asks.js';
+import * as cellMap from './cell-map.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
 import * as schedulerLink from './scheduler-link.js';
@@ -45,7 +45,7 @@
   { cell, service }: schedulerLink.SchedulerLink,
   now: number,
 ): { serverId: string; requests: number }[] {
-  const { cellByServer } = asking.getSplit(state, service, now);
+  const { cellByServer } = pendingAsks.getServiceCells(state, service, now);
   return [...state.inFlight]
     .filter(([serverId]) => cellByServer.get(serverId) === cell)
     .map(([serverId, requests]) => ({ serverId, requests }));
@@ -53,7 +53,7 @@
 
 /** Lists the statements of a cell's backend servers that its scheduler gets. */
 function listStatements(
-  { servers, split }: gatewayState.GatewayState,
+  { servers, cellMap: split }: gatewayState.GatewayState,
   { cell, service }: schedulerLink.SchedulerLink,
   now: number,
 ): schema.ServerStatement[] {
@@ -61,7 +61,7 @@
     .filter(([id, statement]) => {
       const bornMs = servers.byId.get(id)?.entry.bornMs;
       const isOfLife = bornMs !== undefined && serverStatements.isAbout(statement, bornMs);
-      const isInCell = fleetSplit.findCellOf(split, service, id) === cell;
+      const isInCell = cellMap.findServerCell(split, service, id) === cell;
       return isOfLife && isInCell && serverStatements.isReported(statement, now);
     })
     .map(([serverId, { bornMs, sentWallMs, leavingSinceMs, backoffUntilMs, rateLimit }]) =>
@@ -175,9 +175,9 @@
 ): void {
   const { unansweredMs } = link;
   if (unansweredMs !== undefined && now - unansweredMs > SILENCE_MS) {
-    schedulerRanking.noteSilent(state.ranking, link.address, now);
+    schedulerRanking.markUnreachable(state.ranking, link.address, now);
   }
-  const { address } = asking.chooseScheduler(state, link.cell, now);
+  const { address } = pendingAsks.chooseScheduler(state, link.cell, now);
   if (address !== link.address) {
     schedulerLink.setScheduler(link, address);
     state.schedulingTotals.schedulersLeft += 1;
@@ -212,13 +212,16 @@
   [...link.asks.keys()]
     .map((serial) => state.requests.get(serial))
     .filter((request) => request !== undefined)
-    .forEach((request) => asking.askPlace(state, request, now));
+    .forEach((request) => pendingAsks.askPlace(state, request, now));
 }
 
 /** Collects what the schedulers are to be told now. */
 export function collectAsks(state: gatewayState.GatewayState, now: number): AddressedAsk[] {
   [...state.links.values()]
-    .filter(({ service, cell }) => !asking.getSplit(state, service, now).cellNames.includes(cell))
+    .filter(
+      ({ service, cell }) =>
+        !pendingAsks.getServiceCells(state, service, now).cellNames.includes(cell),
+    )
     .forEach((link) => dropLink(state, link, now));
   return [...state.links.values()].flatMap((link) => {
     updateScheduler(state, link, now);
--- a/packages/core/src/gateway/ask-receipt.ts
+++ b/packages/core/src/gateway/ask-receipt.ts
@@ -20,7 +20,7 @@
   const changes = ask.statements
     .filter(({ isLeaving }) => isLeaving)
     .flatMap(({ serverId, bornMs, sentWallMs }) => {
-      const departure = { ...serverStatements.NOTHING_STATED, sentWallMs, isLeaving: true };
+      const departure = { ...serverStatements.EMPTY_STATEMENT, sentWallMs, isLeaving: true };
       const life = { id: serverId, bornMs };
       return backendServers.applyStatement(state.servers, life, departure, now);
     });
--- a/packages/core/src/gateway/assignment.test.ts
+++ b/packages/core/src/gateway/assignment.test.ts
@@ -3,15 +3,15 @@
 import * as schema from '@toucanproxy/schema';
 import type * as assignment from './assignment.js';
 import * as serverEntries from './server-entries.js';
-import * as belief from './belief.js';
+import * as configurationLease from './configuration-lease.js';
 import * as configuration from './configuration.js';
 import * as configurationIndex from './configuration-index.js';
-import * as intake from './intake.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as requestAdmission from './request-admission.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 import * as requestEnd from './request-end.js';
 
 const { test } = nodeTest;
-const { buildArrived, buildClocks, buildRoute, createBench } = gatewayBench;
+const { buildArrived, buildClocks, buildRoute, createTestGateway: createBench } = gatewayFixture;
 
 /** Lists the refusals among assignments by code. */
 function listRefusals(assignments: assignment.Assignment[]): string[] {
@@ -23,9 +23,9 @@
 test('never more than the places', () => {
   const state = createBench(['a', 'bb']);
   for (let index = 0; index < 10; index += 1) {
-    intake.admitRequest(state, buildArrived(String(index)), buildClocks(0));
+    requestAdmission.admitRequest(state, buildArrived(String(index)), buildClocks(0));
   }
-  assert.equal(gatewayBench.assignWaiting(state, buildClocks(1)).length, 4);
+  assert.equal(gatewayFixture.assignWaiting(state, buildClocks(1)).length, 4);
   assert.equal(state.inFlight.get('a'), 2);
 });
 
@@ -33,11 +33,11 @@
   // A request waits for a place; meanwhile a new version takes its key away. It
   // must not run after that.
   const state = createBench([]);
-  intake.admitRequest(state, buildArrived('1'), buildClocks(0));
-  const next = gatewayBench.buildConfiguration(2, [buildRoute()], []);
+  requestAdmission.admitRequest(state, buildArrived('1'), buildClocks(0));
+  const next = gatewayFixture.buildConfiguration(2, [buildRoute()], []);
   state.index = configurationIndex.buildConfigurationIndex(next);
-  serverEntries.applyEntry(state.servers, gatewayBench.buildEntry('a'), 0);
-  assert.deepEqual(listRefusals(gatewayBench.assignWaiting(state, buildClocks(10))), [
+  serverEntries.applyEntry(state.servers, gatewayFixture.buildEntry('a'), 0);
+  assert.deepEqual(listRefusals(gatewayFixture.assignWaiting(state, buildClocks(10))), [
     'UNAUTHENTICATED',
   ]);
 });
@@ -46,9 +46,9 @@
   // The process is suspended with a request in hand and wakes after the lease. It
   // acts on what it believed before; the request is refused as not run.
   const state = createBench(['a']);
-  intake.admitRequest(state, buildArrived('1'), buildClocks(0));
+  requestAdmission.admitRequest(state, buildArrived('1'), buildClocks(0));
   const woken = { steadyMs: 10, wallMs: 9000, uptimeMs: 9000 };
-  assert.deepEqual(listRefusals(gatewayBench.assignWaiting(state, woken)), [
+  assert.deepEqual(listRefusals(gatewayFixture.assignWaiting(state, woken)), [
     'CONFIGURATION_UNCONFIRMED',
   ]);
 });
@@ -57,8 +57,8 @@
   const state = createBench(['a'], [buildRoute({ isPublic: true })]);
   const arrived = buildArrived('1', { credential: undefined });
   const late = buildClocks(60_000);
-  assert.equal(intake.admitRequest(state, arrived, late).kind, 'admitted');
-  assert.equal(gatewayBench.assignWaiting(state, late)[0].kind, 'send');
+  assert.equal(requestAdmission.admitRequest(state, arrived, late).kind, 'admitted');
+  assert.equal(gatewayFixture.assignWaiting(state, late)[0].kind, 'send');
 });
 
 test('long prompt waits for a fast engine', () => {
@@ -66,15 +66,15 @@
   // long prompt takes a second too long. A short prompt behind it would be on
   // time there. The long one waits, the short one goes.
   const state = createBench(['fast', 'slow']);
-  const fast = gatewayBench.getLoad(state, 'fast');
-  const slow = gatewayBench.getLoad(state, 'slow');
+  const fast = gatewayFixture.getLoad(state, 'fast');
+  const slow = gatewayFixture.getLoad(state, 'slow');
   Object.assign(fast.pace, { unitMs: 3, samples: 5 });
   Object.assign(slow.pace, { unitMs: 15, samples: 5 });
-  gatewayBench.setInFlight(state, 'fast', 2);
+  gatewayFixture.setInFlight(state, 'fast', 2);
   const long = buildArrived('long', { tokens: { prompt: 10_000, answer: 100 } });
-  intake.admitRequest(state, long, buildClocks(0));
-  intake.admitRequest(state, buildArrived('short'), buildClocks(0));
-  const sent = gatewayBench.assignWaiting(state, buildClocks(1));
+  requestAdmission.admitRequest(state, long, buildClocks(0));
+  requestAdmission.admitRequest(state, buildArrived('short'), buildClocks(0));
+  const sent = gatewayFixture.assignWaiting(state, buildClocks(1));
   assert.deepEqual(
     sent.map(({ request }) => request.arrived.attemptId),
     ['short'],
@@ -85,17 +85,17 @@
   // A slow engine is free and a fast one is full. The answer takes four seconds on
   // the slow one and its caller leaves after three: it waits for the fast one.
   const state = createBench(['fast', 'slow']);
-  const fast = gatewayBench.getLoad(state, 'fast');
-  const slow = gatewayBench.getLoad(state, 'slow');
+  const fast = gatewayFixture.getLoad(state, 'fast');
+  const slow = gatewayFixture.getLoad(state, 'slow');
   Object.assign(fast.pace, { unitMs: 20, samples: 5 });
   Object.assign(slow.pace, { unitMs: 80, samples: 5 });
-  gatewayBench.setInFlight(state, 'fast', 2);
+  gatewayFixture.setInFlight(state, 'fast', 2);
   const tokens = { prompt: 100, answer: 250 };
   const long = buildArrived('long', { tokens, deadlineMs: 3000 });
-  intake.admitRequest(state, long, buildClocks(0));
-  assert.deepEqual(gatewayBench.assignWaiting(state, buildClocks(1)), []);
-  gatewayBench.setInFlight(state, 'fast', 0);
-  const [sent] = gatewayBench.assignWaiting(state, buildClocks(2));
+  requestAdmission.admitRequest(state, long, buildClocks(0));
+  assert.deepEqual(gatewayFixture.assignWaiting(state, buildClocks(1)), []);
+  gatewayFixture.setInFlight(state, 'fast', 0);
+  const [sent] = gatewayFixture.assignWaiting(state, buildClocks(2));
   assert.equal(sent.kind === 'send' && sent.server.id, 'fast');
 });
 
@@ -113,7 +113,7 @@
   const count = { urgent: 0, urgentInTime: 0, other: 0, otherSent: 0 };
   const heldMs: number[] = [];
   for (let now = 0; now < 10_000; now += 10) {
-    belief.noteConfirmed(state.belief, buildClocks(now));
+    configurationLease.noteConfirmed(state.lease, buildClocks(now));
     running
       .filter(({ endMs }) => endMs <= now)
       .forEach((one) => {
@@ -123,12 +123,16 @@
     // Four places at 400 ms serve one request in 100 ms; two arrive.
     if (now % 100 === 0) {
       ['/a/x', '/b/x'].forEach((path) => {
-        intake.admitRequest(state, buildArrived(`${path}${now}`, { path }), buildClocks(now));
+        requestAdmission.admitRequest(
+          state,
+          buildArrived(`${path}${now}`, { path }),
+          buildClocks(now),
+        );
       });
       count.urgent += 1;
       count.other += 1;
     }
-    gatewayBench.assignWaiting(state, buildClocks(now)).forEach((one) => {
+    gatewayFixture.assignWaiting(state, buildClocks(now)).forEach((one) => {
       const { request } = one;
       if (one.kind === 'refuse') {
         heldMs.push(now - request.arrivedMs);
@@ -155,19 +159,19 @@
   const unit = configuration.QuotaUnit.TOKENS;
   const quota = { unit, perSecond: 100, burst: 1000, defaultTokens: 10 };
   const workspaces = [
-    { name: 'w1', credentials: [gatewayBench.KEY], urgency: undefined, quota, regions: [] },
+    { name: 'w1', credentials: [gatewayFixture.KEY], urgency: undefined, quota, regions: [] },
     { name: 'w2', credentials: ['key-2'], urgency: undefined, quota: undefined, regions: [] },
   ];
-  const declared = gatewayBench.buildConfiguration(2, routes, workspaces);
+  const declared = gatewayFixture.buildConfiguration(2, routes, workspaces);
   state.index = configurationIndex.buildConfigurationIndex(declared);
-  intake.admitRequest(state, buildArrived('unknown past'), buildClocks(0));
-  belief.noteConfirmed(state.belief, buildClocks(8000));
-  intake.admitRequest(state, buildArrived('first'), buildClocks(8000));
-  intake.admitRequest(state, buildArrived('surplus'), buildClocks(8000));
+  requestAdmission.admitRequest(state, buildArrived('unknown past'), buildClocks(0));
+  configurationLease.noteConfirmed(state.lease, buildClocks(8000));
+  requestAdmission.admitRequest(state, buildArrived('first'), buildClocks(8000));
+  requestAdmission.admitRequest(state, buildArrived('surplus'), buildClocks(8000));
   const within = buildArrived('within', { path: '/b/x', credential: 'key-2' });
-  intake.admitRequest(state, within, buildClocks(8001));
-  serverEntries.applyEntry(state.servers, gatewayBench.buildEntry('a', { slots: 2 }), 8001);
-  const sent = gatewayBench
+  requestAdmission.admitRequest(state, within, buildClocks(8001));
+  serverEntries.applyEntry(state.servers, gatewayFixture.buildEntry('a', { slots: 2 }), 8001);
+  const sent = gatewayFixture
     .assignWaiting(state, buildClocks(8002))
     .filter(({ kind }) => kind === 'send')
     .map(({ request }) => request.arrived.attemptId);
--- a/packages/core/src/gateway/assignment.ts
+++ b/packages/core/src/gateway/assignment.ts
@@ -4,20 +4,20 @@
 import * as retryBudget from '../shared/retry-budget.js';
 import * as scheduler from '../scheduler/index.js';
 import * as askMessages from './ask-messages.js';
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import * as serverEntries from './server-entries.js';
-import type * as belief from './belief.js';
+import type * as configurationLease from './configuration-lease.js';
 import * as cellServers from './cell-servers.js';
 import * as gatewayRequest from './gateway-request.js';
 import * as gatewayState from './gateway-state.js';
 import * as peerView from './peer-view.js';
-import * as placeAnswers from './place-answers.js';
+import * as scheduleReplies from './schedule-replies.js';
 import * as refusal from './refusal.js';
 import * as regionBinding from './region-binding.js';
 import * as requestEnd from './request-end.js';
 import * as rights from './rights.js';
 import * as serverAdmission from './server-admission.js';
-import * as strandedRequests from './stranded-requests.js';
+import * as unservableRequests from './unservable-requests.js';
 
 export type Assignment =
   | {
@@ -37,16 +37,16 @@
     };
 
 /** A message to another gateway. */
-export type Outgoing =
+export type OutgoingMessage =
   | { kind: 'ask'; to: string; ask: schema.ScheduleAsk }
   | { kind: 'reply'; to: string; reply: schema.ScheduleReply };
 
 /** What follows from the present state. */
 export type Progress = {
   assignments: Assignment[];
-  outgoing: Outgoing[];
+  outgoing: OutgoingMessage[];
   /** What this gateway's own scheduler decided. */
-  notes: scheduler.SchedulingNote[];
+  notes: scheduler.SchedulingDecision[];
 };
 
 /**
@@ -65,7 +65,7 @@
 function findObstacle(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
-  clocks: belief.ClockReading,
+  clocks: configurationLease.ClockReading,
 ): refusal.Refusal | undefined {
   const decision = rights.findRights(state, request.arrived, clocks);
   if (decision.kind === 'refused') {
@@ -86,27 +86,27 @@
 /** Sends a request to the place that it was granted. */
 function applyGranted(
   state: gatewayState.GatewayState,
-  granted: Extract<placeAnswers.PlaceAnswer, { kind: 'granted' }>,
-  clocks: belief.ClockReading,
+  granted: Extract<scheduleReplies.ReplyOutcome, { kind: 'granted' }>,
+  clocks: configurationLease.ClockReading,
 ): Assignment[] {
   const { request, serverId, idleFirstMs, entry, isRateLimited } = granted;
   const now = clocks.steadyMs;
   const obstacle = findObstacle(state, request, clocks);
   if (obstacle !== undefined) {
     state.schedulingTotals.grantsUnused += 1;
-    asking.noteNews(state, serverId, request.service);
+    pendingAsks.markLinkDirty(state, serverId, request.service);
     const told = requestEnd.refuseWaiting(state, request, obstacle);
     return [{ kind: 'refuse', request, refusal: told }];
   }
   if (entry !== undefined) {
-    serverEntries.applyTold(state.servers, entry, now);
+    serverEntries.applyGrantedEntry(state.servers, entry, now);
   }
   const found = serverAdmission.admitToServer(state, request, serverId, now);
   if (found.kind === 'unusable') {
     state.schedulingTotals.grantsUnused += 1;
     request.triedIds.add(serverId);
-    asking.noteNews(state, serverId, request.service);
-    asking.askPlaceLater(state, request, now);
+    pendingAsks.markLinkDirty(state, serverId, request.service);
+    pendingAsks.askPlaceLater(state, request, now);
     return [{ kind: 'waitOn', request, serverId, reason: found.reason }];
   }
   request.phase = gatewayRequest.RequestPhase.SENT;
@@ -125,7 +125,7 @@
 /** Asks another cell for a request that one has declined, or refuses it. */
 function applyDeclined(
   state: gatewayState.GatewayState,
-  declined: Extract<placeAnswers.PlaceAnswer, { kind: 'declined' }>,
+  declined: Extract<scheduleReplies.ReplyOutcome, { kind: 'declined' }>,
   now: number,
 ): Assignment[] {
   const { request, isOnArrival, retryAfterMs } = declined;
@@ -133,7 +133,7 @@
     request.declinedCells.add(request.cell);
   }
   const mayAskAgain = isOnArrival && request.declinedCells.size < MAX_CELLS_ASKED;
-  if (mayAskAgain && asking.askPlace(state, request, now)) {
+  if (mayAskAgain && pendingAsks.askPlace(state, request, now)) {
     return [];
   }
   const { SHED, DEADLINE_UNREACHABLE } = schema.ResultCode;
@@ -146,9 +146,9 @@
 export function applyReply(
   state: gatewayState.GatewayState,
   reply: schema.ScheduleReply,
-  clocks: belief.ClockReading,
+  clocks: configurationLease.ClockReading,
 ): Assignment[] {
-  return placeAnswers
+  return scheduleReplies
     .applyReply(state, reply, clocks.steadyMs)
     .flatMap((answer) =>
       answer.kind === 'granted'
@@ -160,7 +160,7 @@
 /** Asks schedulers once, and lets this gateway's own one decide. */
 function passOnce(
   state: gatewayState.GatewayState,
-  clocks: belief.ClockReading,
+  clocks: configurationLease.ClockReading,
   progress: Progress,
 ): boolean {
   const now = clocks.steadyMs;
@@ -183,11 +183,14 @@
 }
 
 /** Does what can be done now: asks for places, schedules, and takes in own answers. */
-export function advance(state: gatewayState.GatewayState, clocks: belief.ClockReading): Progress {
+export function advance(
+  state: gatewayState.GatewayState,
+  clocks: configurationLease.ClockReading,
+): Progress {
   const progress: Progress = { assignments: [], outgoing: [], notes: [] };
   progress.assignments.push(
-    ...strandedRequests
-      .refuseStranded(state, clocks.steadyMs)
+    ...unservableRequests
+      .refuseUnservable(state, clocks.steadyMs)
       .map((one) => ({ kind: 'refuse', ...one }) as const),
   );
   let passes = 0;
@@ -200,13 +203,9 @@
 }
 
 /** Takes one repeat from the budget that all gateways share. */
-export function takeRepeat(
-  state: gatewayState.GatewayState,
-  service: string,
-  now: number,
-): boolean {
+export function takeRetry(state: gatewayState.GatewayState, service: string, now: number): boolean {
   const { retryPercent, retryExtra } = state.bounds;
   const floor = retryExtra / peerView.countGateways(state.peers);
   const { retries } = gatewayState.getServiceWork(state, service);
-  return retryBudget.takeRepeat(retries, retryPercent, now, floor);
+  return retryBudget.takeRetry(retries, retryPercent, now, floor);
 }
--- a/packages/core/src/gateway/attempt-end.test.ts
+++ b/packages/core/src/gateway/attempt-end.test.ts
@@ -5,23 +5,26 @@
 import * as attemptEnd from './attempt-end.js';
 import * as configuration from './configuration.js';
 import type * as gatewayState from './gateway-state.js';
-import * as intake from './intake.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as requestAdmission from './request-admission.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
 const { AttemptFault } = attemptEnd;
-const NOT_BEGUN = { hasBegun: false, canGoOn: true };
+const NOT_BEGUN = { hasBegun: false, canResume: true };
 
 /** Sends one request and lets its attempts end with faults until it is settled. */
 function runFaults(
   route: Partial<configuration.Route>,
   faults: attemptEnd.AttemptFault[],
 ): { verdict: attemptEnd.AttemptVerdict['kind']; code: string; sends: number } {
-  const state = gatewayBench.createBench(['a', 'b', 'c'], [gatewayBench.buildRoute(route)]);
-  const clocks = gatewayBench.buildClocks(10);
-  const taken = intake.admitRequest(state, gatewayBench.buildArrived('1'), clocks);
+  const state = gatewayFixture.createTestGateway(
+    ['a', 'b', 'c'],
+    [gatewayFixture.buildRoute(route)],
+  );
+  const clocks = gatewayFixture.buildClocks(10);
+  const taken = requestAdmission.admitRequest(state, gatewayFixture.buildArrived('1'), clocks);
   assert.equal(taken.kind, 'admitted');
-  const [sent] = gatewayBench.assignWaiting(state, clocks);
+  const [sent] = gatewayFixture.assignWaiting(state, clocks);
   const { request } = sent;
   let verdict: attemptEnd.AttemptVerdict = { kind: 'again' };
   faults.forEach((fault, index) => {
@@ -31,9 +34,9 @@
         request,
         fault,
         NOT_BEGUN,
-        gatewayBench.buildClocks(20 + index),
+        gatewayFixture.buildClocks(20 + index),
       );
-      gatewayBench.assignWaiting(state, gatewayBench.buildClocks(20 + index));
+      gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(20 + index));
     }
   });
   const settled = verdict as attemptEnd.AttemptVerdict;
@@ -57,7 +60,7 @@
             one.request,
             fault,
             NOT_BEGUN,
-            gatewayBench.buildClocks(now),
+            gatewayFixture.buildClocks(now),
           );
     return verdict.kind === 'refuse' ? [schema.ResultCode[verdict.refusal.code]] : [];
   });
@@ -80,13 +83,17 @@
 test('refused everywhere was not run', () => {
   // Every backend server refuses, again and again. The request is sent a few
   // times at most and is then refused as not run.
-  const route = gatewayBench.buildRoute({ kind: configuration.RouteKind.UNSAFE });
-  const state = gatewayBench.createBench(['a', 'b', 'c'], [route]);
-  intake.admitRequest(state, gatewayBench.buildArrived('1'), gatewayBench.buildClocks(0));
+  const route = gatewayFixture.buildRoute({ kind: configuration.RouteKind.UNSAFE });
+  const state = gatewayFixture.createTestGateway(['a', 'b', 'c'], [route]);
+  requestAdmission.admitRequest(
+    state,
+    gatewayFixture.buildArrived('1'),
+    gatewayFixture.buildClocks(0),
+  );
   const told: string[] = [];
   let sends = 0;
   for (let now = 0; now < 2900 && told.length === 0; now += 50) {
-    const assigned = gatewayBench.assignWaiting(state, gatewayBench.buildClocks(now));
+    const assigned = gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(now));
     sends += assigned.filter(({ kind }) => kind === 'send').length;
     told.push(...listEnds(state, assigned, AttemptFault.REFUSED, now));
   }
@@ -121,15 +128,15 @@
 test('repeats are bounded over all requests', () => {
   // All backend servers fail everything. Each request repeated would double the
   // load on them; the budget lets a fifth through, and ten besides.
-  const route = gatewayBench.buildRoute({ kind: configuration.RouteKind.SAFE, maxAttempts: 2 });
-  const state = gatewayBench.createBench(['a', 'b', 'c'], [route]);
+  const route = gatewayFixture.buildRoute({ kind: configuration.RouteKind.SAFE, maxAttempts: 2 });
+  const state = gatewayFixture.createTestGateway(['a', 'b', 'c'], [route]);
   let sends = 0;
   for (let index = 0; index < 200; index += 1) {
-    const clocks = gatewayBench.buildClocks(index * 10);
-    intake.admitRequest(state, gatewayBench.buildArrived(String(index)), clocks);
-    const first = gatewayBench.assignWaiting(state, clocks);
+    const clocks = gatewayFixture.buildClocks(index * 10);
+    requestAdmission.admitRequest(state, gatewayFixture.buildArrived(String(index)), clocks);
+    const first = gatewayFixture.assignWaiting(state, clocks);
     listEnds(state, first, AttemptFault.FAILED, clocks.steadyMs);
-    const second = gatewayBench.assignWaiting(state, clocks);
+    const second = gatewayFixture.assignWaiting(state, clocks);
     listEnds(state, second, AttemptFault.FAILED, clocks.steadyMs);
     sends += first.length + second.length;
   }
--- a/packages/core/src/gateway/attempt-end.ts
+++ b/packages/core/src/gateway/attempt-end.ts
@@ -1,10 +1,10 @@
 /** What follows when a backend server has ended an attempt without a good answer. */
 import * as schema from '@toucanproxy/schema';
 import * as overloads from '../shared/overload.js';
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import * as assignment from './assignment.js';
 import * as backendServers from './backend-servers.js';
-import type * as belief from './belief.js';
+import type * as configurationLease from './configuration-lease.js';
 import * as crashWatch from './crash-watch.js';
 import * as gatewayRequest from './gateway-request.js';
 import * as gatewayState from './gateway-state.js';
@@ -58,10 +58,10 @@
   const server = { serverId, service };
   switch (fault) {
     case AttemptFault.UNREACHABLE:
-      asking.noteObservation(state, server, schema.ServerObservation_Kind.UNREACHABLE, 0, now);
+      pendingAsks.noteObservation(state, server, schema.ServerObservation_Kind.UNREACHABLE, 0, now);
       return;
     case AttemptFault.REFUSED:
-      asking.noteObservation(state, server, schema.ServerObservation_Kind.NOT_TAKEN, 0, now);
+      pendingAsks.noteObservation(state, server, schema.ServerObservation_Kind.NOT_TAKEN, 0, now);
       return;
     case AttemptFault.WITHDRAWN:
       return;
@@ -69,7 +69,13 @@
       backendServers.noteDisplaced(state.servers, serverId);
       return;
     default:
-      asking.noteObservation(state, server, schema.ServerObservation_Kind.FAILED_ANSWER, 0, now);
+      pendingAsks.noteObservation(
+        state,
+        server,
+        schema.ServerObservation_Kind.FAILED_ANSWER,
+        0,
+        now,
+      );
   }
 }
 
@@ -79,7 +85,7 @@
   { arrived }: gatewayRequest.GatewayRequest,
   serverId: string,
   fault: AttemptFault,
-  clocks: belief.ClockReading,
+  clocks: configurationLease.ClockReading,
 ): void {
   if (fault === AttemptFault.BROKEN) {
     crashWatch.noteBrokenRun(state, serverId, arrived.hashContent(), clocks.steadyMs);
@@ -102,7 +108,7 @@
     runsLeft &&
     timeLeft &&
     request.sends < MAX_SENDS &&
-    assignment.takeRepeat(state, request.service, now)
+    assignment.takeRetry(state, request.service, now)
   );
 }
 
@@ -143,14 +149,14 @@
     request.leaveMs = Math.min(now + request.route.patienceMs, request.giveUpMs);
   }
   request.declinedCells.clear();
-  return asking.askPlace(state, request, now);
+  return pendingAsks.askPlace(state, request, now);
 }
 
 /** What the caller has of the answer when an attempt fails. */
-export type AnswerProgress = {
+export type ResponseProgress = {
   hasBegun: boolean;
   /** The rest can follow from another run: nothing has been passed on, or it is known where. */
-  canGoOn: boolean;
+  canResume: boolean;
 };
 
 /** Decides what becomes of a request whose attempt has failed. */
@@ -158,8 +164,8 @@
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   fault: AttemptFault,
-  { hasBegun, canGoOn }: AnswerProgress,
-  clocks: belief.ClockReading,
+  { hasBegun, canResume }: ResponseProgress,
+  clocks: configurationLease.ClockReading,
 ): AttemptVerdict {
   const { serverId } = request;
   const now = clocks.steadyMs;
@@ -171,7 +177,7 @@
     request.triedIds.add(serverId);
   }
   requestEnd.releaseServer(state, request);
-  const isAgain = canGoOn && isAgainAllowed(state, request, notRun, now);
+  const isAgain = canResume && isAgainAllowed(state, request, notRun, now);
   if (isAgain && waitAgain(state, request, hasBegun, now)) {
     return { kind: 'again' };
   }
--- a/packages/core/src/gateway/backend-servers.test.ts
+++ b/packages/core/src/gateway/backend-servers.test.ts
@@ -2,10 +2,10 @@
 import * as nodeTest from 'node:test';
 import * as backendServers from './backend-servers.js';
 import * as serverEntries from './server-entries.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
-const { buildEntry, buildRevision } = gatewayBench;
+const { buildEntry, buildRevision } = gatewayFixture;
 const RETURN_MS = 2000;
 
 /** Tells whether the one backend server may get new work. */
@@ -74,8 +74,8 @@
 
 test('told of a backend server before it was read', () => {
   const servers = backendServers.createBackendServers();
-  serverEntries.noteRead(servers, buildRevision(10));
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
+  serverEntries.noteReadRevision(servers, buildRevision(10));
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.equal(isUsable(servers), true);
 });
 
@@ -83,9 +83,9 @@
   // This gateway has read that a backend server is gone; the scheduler, which has not,
   // grants a place there. Taken in again, it would get work that nobody answers.
   const servers = createWithOne();
-  serverEntries.noteRead(servers, buildRevision(10));
+  serverEntries.noteReadRevision(servers, buildRevision(10));
   serverEntries.removeEntry(servers, 'a', 0);
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(7) }), 0);
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(7) }), 0);
   assert.equal(isUsable(servers), false);
 });
 
@@ -96,7 +96,7 @@
     buildEntry('a', { leaving: true, revision: buildRevision(20) }),
     0,
   );
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(30) }), 0);
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(30) }), 0);
   assert.equal(isUsable(servers), false);
 });
 
@@ -104,7 +104,7 @@
   // The store's list was read just before a backend server came, of which a scheduler tells
   // meanwhile. Taken as gone, its connections would be closed with what runs on them.
   const servers = backendServers.createBackendServers();
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.deepEqual(serverEntries.applySnapshot(servers, [], buildRevision(10), 0), []);
   assert.equal(isUsable(servers), true);
   assert.equal(serverEntries.applySnapshot(servers, [], buildRevision(11), 0)[0].change, 'gone');
--- a/packages/core/src/gateway/backend-servers.ts
+++ b/packages/core/src/gateway/backend-servers.ts
@@ -62,7 +62,7 @@
     returnUntilMs: 0,
     statements: new Map(),
     evacuations: evacuations.createEvacuations(),
-    readRevision: storeRevision.BEFORE_ALL,
+    readRevision: storeRevision.EARLIEST_REVISION,
     revision: 0,
   };
 }
@@ -95,7 +95,7 @@
 export function applyStatement(
   servers: BackendServers,
   life: serverStatements.ServerLife,
-  statement: serverStatements.AnswerStatement,
+  statement: serverStatements.ResponseStatement,
   now: number,
 ): serverStatements.StatementChange[] {
   const { id, bornMs } = life;
--- a/packages/core/src/gateway/fleet-split.test.ts
+++ b/packages/core/src/gateway/cell-map.test.ts
@@ -3,8 +3,8 @@
 import * as scheduler from '../scheduler/index.js';
 import * as backendServers from './backend-servers.js';
 import * as serverEntries from './server-entries.js';
-import * as fleetSplit from './fleet-split.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as cellMap from './cell-map.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
 const SERVICE = 'one';
@@ -12,7 +12,7 @@
 /** Takes in the entries of some backend servers. */
 function addServers(servers: backendServers.BackendServers, from: number, until: number): void {
   Array.from({ length: until - from }, (_, index) =>
-    serverEntries.applyEntry(servers, gatewayBench.buildEntry(`server-${from + index}`), 0),
+    serverEntries.applyEntry(servers, gatewayFixture.buildEntry(`server-${from + index}`), 0),
   );
 }
 
@@ -27,10 +27,10 @@
   // Backend servers come and go, and with them the number of cells. Two gateways that have
   // seen different numbers in between must find the same cells, or a cell has two lines.
   const servers = backendServers.createBackendServers();
-  const split = fleetSplit.createFleetSplit();
+  const split = cellMap.createCellMap();
   const expectSame = () =>
     assert.deepEqual(
-      fleetSplit.getServiceSplit(split, servers, SERVICE, 0).cellByServer,
+      cellMap.getServiceCells(split, servers, SERVICE, 0).cellByServer,
       listAnew(servers),
     );
   addServers(servers, 0, 200);
--- a/packages/core/src/gateway/fleet-split.ts
+++ b/packages/core/src/gateway/cell-map.ts
@@ -4,7 +4,7 @@
 import * as backendServers from './backend-servers.js';
 
 /** The cells of one service. */
-export type ServiceSplit = {
+export type ServiceCells = {
   cellNames: string[];
   /** By the id of the backend server; those that are leaving included. */
   cellByServer: Map<string, string>;
@@ -15,10 +15,10 @@
 /** Cells that backend servers were found in, while their service had so many cells. */
 type KnownCells = { cells: number; byServer: ReadonlyMap<string, string> };
 
-export type FleetSplit = {
+export type CellMap = {
   computedMs: number;
   revision: number;
-  byService: Map<string, ServiceSplit>;
+  byService: Map<string, ServiceCells>;
   /** By service. */
   knownCells: Map<string, KnownCells>;
 };
@@ -31,7 +31,7 @@
 const SPLIT_MS = 200;
 
 /** Creates a split that is worked out at its first use. */
-export function createFleetSplit(): FleetSplit {
+export function createCellMap(): CellMap {
   return { computedMs: -Infinity, revision: -1, byService: new Map(), knownCells: new Map() };
 }
 
@@ -53,11 +53,11 @@
 
 /** Splits the backend servers of a service. */
 function buildServiceSplit(
-  split: FleetSplit,
+  split: CellMap,
   servers: backendServers.BackendServers,
   service: string,
   now: number,
-): ServiceSplit {
+): ServiceCells {
   const ids = backendServers.listIds(servers, service);
   const cellNames = scheduler.listCellNames(service, ids.length);
   const cellByServer = findCells(split.knownCells.get(service), cellNames, ids);
@@ -72,8 +72,8 @@
 }
 
 /** Finds the cell of a backend server, as the split was worked out last. */
-export function findCellOf(
-  { byService }: FleetSplit,
+export function findServerCell(
+  { byService }: CellMap,
   service: string,
   serverId: string,
 ): string | undefined {
@@ -81,12 +81,12 @@
 }
 
 /** Gets the cells of a service. */
-export function getServiceSplit(
-  split: FleetSplit,
+export function getServiceCells(
+  split: CellMap,
   servers: backendServers.BackendServers,
   service: string,
   now: number,
-): ServiceSplit {
+): ServiceCells {
   if (split.revision !== servers.revision || now - split.computedMs > SPLIT_MS) {
     split.revision = servers.revision;
     split.computedMs = now;
--- a/packages/core/src/gateway/cell-servers.ts
+++ b/packages/core/src/gateway/cell-servers.ts
@@ -1,7 +1,7 @@
 /** What this gateway knows of the backend servers of a cell, for its own scheduler. */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as scheduler from '../scheduler/index.js';
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import type * as backendServers from './backend-servers.js';
 import type * as configuration from './configuration.js';
 import type * as gatewayState from './gateway-state.js';
@@ -19,8 +19,8 @@
   if (traits === undefined) {
     return undefined;
   }
-  const mostInSecond = Math.max(traits.perSecond * factor + extra, LEAST_IN_SECOND);
-  return { ...traits, mostInSecond };
+  const maxInOneSecond = Math.max(traits.perSecond * factor + extra, LEAST_IN_SECOND);
+  return { ...traits, maxInOneSecond };
 }
 
 /**
@@ -31,7 +31,7 @@
   const { peers, seeds } = state;
   return peers.byAddress.size === 0 && seeds.length > 0
     ? 0
-    : 1 - peerView.countSilent(peers, now) / peerView.countGateways(peers);
+    : 1 - peerView.countUnreachablePeers(peers, now) / peerView.countGateways(peers);
 }
 
 /**
@@ -56,7 +56,7 @@
   now: number,
 ): scheduler.CellServers {
   const service = scheduler.parseCellService(cellName);
-  const entries = asking.getSplit(state, service, now).usableByCell.get(cellName) ?? [];
+  const entries = pendingAsks.getServiceCells(state, service, now).usableByCell.get(cellName) ?? [];
   const known = entries
     .map(({ id }) => state.servers.byId.get(id))
     .filter((one) => one !== undefined);
@@ -65,11 +65,11 @@
   return {
     entries,
     tokensPerEvent: declared?.engine?.tokensPerEvent ?? 1,
-    placeShare: asking.chooseScheduler(state, cellName, now).placeShare,
-    heardShare: computeHeardShare(state, now),
+    placeShare: pendingAsks.chooseScheduler(state, cellName, now).placeShare,
+    reachableShare: computeHeardShare(state, now),
     hasPeers: state.peers.byAddress.size > 0,
     warmUp,
-    news: listNews(known, now),
-    warmUntilMs: warmUpTimes.listWarming(state.servers, known, state.index, now),
+    recentEntries: listNews(known, now),
+    warmUpEndMs: warmUpTimes.listWarming(state.servers, known, state.index, now),
   };
 }
--- a/packages/core/src/gateway/belief.ts
+++ b/packages/core/src/gateway/configuration-lease.ts
@@ -17,14 +17,14 @@
   uptimeMs: number;
 };
 
-export type Belief = {
+export type ConfigurationLease = {
   /** When the last call that the store answered was sent; undefined before the first. */
   confirmed: ClockReading | undefined;
   /** Since when the store has told an older configuration than a peer has, milliseconds. */
   behindSinceMs: number | undefined;
 };
 
-export enum Standing {
+export enum LeaseStatus {
   /** The configuration is known to be fresh enough for everything. */
   CONFIRMED = 'confirmed',
   /** Only requests that need no credential are served. */
@@ -34,24 +34,24 @@
 }
 
 /** Creates the belief of a process that has heard nothing. */
-export function createBelief(): Belief {
+export function createConfigurationLease(): ConfigurationLease {
   return { confirmed: undefined, behindSinceMs: undefined };
 }
 
 /** Notes that the store answered a call that was sent at the given reading. */
-export function noteConfirmed(belief: Belief, sent: ClockReading): void {
+export function noteConfirmed(belief: ConfigurationLease, sent: ClockReading): void {
   belief.confirmed = sent;
   belief.behindSinceMs = undefined;
 }
 
 /** Notes that the store tells an older configuration than a peer has: nothing is confirmed. */
-export function noteBehind(belief: Belief, now: number): void {
+export function noteBehind(belief: ConfigurationLease, now: number): void {
   belief.confirmed = undefined;
   belief.behindSinceMs ??= now;
 }
 
 /** Computes the age of the last confirmation, milliseconds. */
-export function computeAge(belief: Belief, now: ClockReading): number {
+export function computeConfirmationAge(belief: ConfigurationLease, now: ClockReading): number {
   const { confirmed } = belief;
   return confirmed === undefined
     ? Infinity
@@ -68,14 +68,16 @@
  * @param leaseMs how long one answer of the store holds; Infinity where revoked
  *   credentials may be served while the store cannot be reached
  */
-export function getStanding(
-  belief: Belief,
+export function getLeaseStatus(
+  belief: ConfigurationLease,
   hasConfiguration: boolean,
   leaseMs: number,
   now: ClockReading,
-): Standing {
+): LeaseStatus {
   if (!hasConfiguration) {
-    return Standing.UNKNOWN;
+    return LeaseStatus.UNKNOWN;
   }
-  return computeAge(belief, now) <= leaseMs ? Standing.CONFIRMED : Standing.UNCONFIRMED;
+  return computeConfirmationAge(belief, now) <= leaseMs
+    ? LeaseStatus.CONFIRMED
+    : LeaseStatus.UNCONFIRMED;
 }
--- a/packages/core/src/gateway/crash-watch.ts
+++ b/packages/core/src/gateway/crash-watch.ts
@@ -10,7 +10,7 @@
  * other of suspects, as a caller comes back through another one.
  */
 import * as suspects from '../shared/suspects.js';
-import type * as belief from './belief.js';
+import type * as configurationLease from './configuration-lease.js';
 import type * as gatewayState from './gateway-state.js';
 
 /** A request that broke off at a backend server that may have crashed. */
@@ -57,7 +57,7 @@
 export function applyCrash(
   state: gatewayState.GatewayState,
   serverId: string,
-  { steadyMs, wallMs }: belief.ClockReading,
+  { steadyMs, wallMs }: configurationLease.ClockReading,
 ): string[] {
   const recent = state.brokenRuns.get(serverId) ?? [];
   state.brokenRuns.delete(serverId);
@@ -70,10 +70,10 @@
 }
 
 /** Takes in that content was answered whole: it is no suspect any more. */
-export function noteWholeAnswer(
+export function noteCompleteResponse(
   state: gatewayState.GatewayState,
   hashContent: () => string,
-  { wallMs }: belief.ClockReading,
+  { wallMs }: configurationLease.ClockReading,
 ): void {
   if (state.suspects.byDigest.size > 0) {
     suspects.clearSuspect(state.suspects, hashContent(), wallMs);
--- a/packages/core/src/gateway/caller-patience.test.ts
+++ b/packages/core/src/gateway/deadline-stats.test.ts
@@ -1,15 +1,15 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
-import * as belief from './belief.js';
-import * as callerPatience from './caller-patience.js';
+import * as configurationLease from './configuration-lease.js';
+import * as deadlineStats from './deadline-stats.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
-import * as intake from './intake.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as requestAdmission from './request-admission.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 import * as requestEnd from './request-end.js';
 
 const { test } = nodeTest;
-const { buildArrived, buildClocks, buildRoute, createBench } = gatewayBench;
+const { buildArrived, buildClocks, buildRoute, createTestGateway: createBench } = gatewayFixture;
 const FULL_MS = 15_000;
 const TARGET_MS = 500;
 const SERVERS = ['a', 'bb', 'ccc', 'dddd', 'eeeee', 'ffffff', 'ggggggg', 'hhhhhhhh'];
@@ -23,65 +23,65 @@
 
 /** Takes in the deadlines of some requests. */
 function noteAll(
-  usual: callerPatience.UsualDeadline,
+  usual: deadlineStats.UsualDeadline,
   deadlines: readonly number[],
   workspace = 'w',
 ): void {
-  deadlines.forEach((deadlineMs) => callerPatience.noteDeadline(usual, workspace, deadlineMs));
+  deadlines.forEach((deadlineMs) => deadlineStats.noteDeadline(usual, workspace, deadlineMs));
 }
 
 test('one that comes back has tried for as long as it has less time', () => {
-  const usual = callerPatience.createUsualDeadline();
+  const usual = deadlineStats.createUsualDeadline();
   noteAll(
     usual,
     Array.from({ length: 40 }, (_, index) => FULL_MS - (index % 10) * 200),
   );
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', FULL_MS), 0);
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', FULL_MS - 1800), 0);
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', 9000), 6000);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', FULL_MS), 0);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', FULL_MS - 1800), 0);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 9000), 6000);
 });
 
 test('callers that each have a time of their own', () => {
   // Callers of one route allow anything from one to fifteen seconds. Who allows little has
   // not tried for long; nobody may be put behind the others for it.
-  const usual = callerPatience.createUsualDeadline();
+  const usual = deadlineStats.createUsualDeadline();
   noteAll(
     usual,
     Array.from({ length: 400 }, (_, index) => 1000 + ((index * 7919) % 14_000)),
   );
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', 2000), 0);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 2000), 0);
 });
 
 test('one caller with a very long time', () => {
   // One caller allows four times as long as all others. These have not tried for 45
   // seconds; nothing is concluded until its deadline is forgotten.
-  const usual = callerPatience.createUsualDeadline();
+  const usual = deadlineStats.createUsualDeadline();
   noteAll(usual, Array<number>(40).fill(FULL_MS));
   noteAll(usual, [60_000]);
   Array.from({ length: 60 }).forEach(() => {
     noteAll(usual, [FULL_MS]);
-    assert.equal(callerPatience.estimateTriedMs(usual, 'w', FULL_MS), 0);
+    assert.equal(deadlineStats.estimateTriedMs(usual, 'w', FULL_MS), 0);
   });
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', 9000), 6000);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 9000), 6000);
 });
 
 test('a workspace whose callers allow less', () => {
   // Callers of one workspace allow 8 s, all others 15 s. They have not tried before; in a
   // burst they would wait behind everybody of their urgency, and be turned away first.
-  const usual = callerPatience.createUsualDeadline();
+  const usual = deadlineStats.createUsualDeadline();
   noteAll(usual, Array<number>(40).fill(FULL_MS));
   Array.from({ length: 12 }).forEach(() => {
     noteAll(usual, [8000], 'hasty');
     noteAll(usual, [FULL_MS, FULL_MS]);
   });
-  assert.equal(callerPatience.estimateTriedMs(usual, 'hasty', 8000), 0);
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', 8000), 7000);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'hasty', 8000), 0);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 8000), 7000);
 });
 
 test('nothing is known at first', () => {
-  const usual = callerPatience.createUsualDeadline();
+  const usual = deadlineStats.createUsualDeadline();
   noteAll(usual, [FULL_MS, FULL_MS]);
-  assert.equal(callerPatience.estimateTriedMs(usual, 'w', 5000), 0);
+  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 5000), 0);
 });
 
 /** A caller that comes back, and when it first tried. */
@@ -103,7 +103,7 @@
   burst.firstMsById.set(attemptId, firstMs);
   const triedMs = burst.doDeadlinesTell ? now - firstMs : 0;
   const arrived = buildArrived(attemptId, { deadlineMs: FULL_MS - triedMs });
-  intake.admitRequest(burst.state, arrived, buildClocks(now));
+  requestAdmission.admitRequest(burst.state, arrived, buildClocks(now));
 }
 
 /** Ends what has run for its time. */
@@ -116,7 +116,7 @@
 
 /** Sends what was given a place; who is turned away for the first time comes back. */
 function applyDecisions(burst: Burst, now: number): void {
-  gatewayBench.assignWaiting(burst.state, buildClocks(now)).forEach((one) => {
+  gatewayFixture.assignWaiting(burst.state, buildClocks(now)).forEach((one) => {
     const { request } = one;
     const firstMs = burst.firstMsById.get(request.arrived.attemptId) ?? 0;
     if (one.kind === 'send') {
@@ -138,7 +138,7 @@
   const flow = { returns: [], running: [], firstMsById: new Map<string, number>(), inTime: 0 };
   const burst: Burst = { state, doDeadlinesTell, ...flow };
   for (let now = 0; now < BURST_MS; now += 5) {
-    belief.noteConfirmed(state.belief, buildClocks(now));
+    configurationLease.noteConfirmed(state.lease, buildClocks(now));
     endRuns(burst, now);
     if (now % ARRIVAL_MS === 0) {
       addCall(burst, now, now);
@@ -162,18 +162,18 @@
   const routes = [buildRoute(), buildRoute({ name: 'later', prefix: '/b/', urgency: 1 })];
   const state = createBench(['a'], routes);
   Array.from({ length: 20 }).forEach((_, index) =>
-    intake.admitRequest(state, buildArrived(`usual ${index}`), buildClocks(0)),
+    requestAdmission.admitRequest(state, buildArrived(`usual ${index}`), buildClocks(0)),
   );
-  gatewayBench.assignWaiting(state, buildClocks(0));
+  gatewayFixture.assignWaiting(state, buildClocks(0));
   state.requests.forEach((request) => requestEnd.abandonRequest(state, request, false));
-  gatewayBench.setInFlight(state, 'a', 2);
-  intake.admitRequest(state, buildArrived('later', { path: '/b/x' }), buildClocks(10));
-  intake.admitRequest(state, buildArrived('back', { deadlineMs: 9000 }), buildClocks(11));
-  intake.admitRequest(state, buildArrived('new'), buildClocks(12));
-  gatewayBench.assignWaiting(state, buildClocks(12));
+  gatewayFixture.setInFlight(state, 'a', 2);
+  requestAdmission.admitRequest(state, buildArrived('later', { path: '/b/x' }), buildClocks(10));
+  requestAdmission.admitRequest(state, buildArrived('back', { deadlineMs: 9000 }), buildClocks(11));
+  requestAdmission.admitRequest(state, buildArrived('new'), buildClocks(12));
+  gatewayFixture.assignWaiting(state, buildClocks(12));
   const sent = [1, 0].flatMap((inFlight) => {
-    gatewayBench.setInFlight(state, 'a', inFlight);
-    return gatewayBench.assignWaiting(state, buildClocks(13 + inFlight));
+    gatewayFixture.setInFlight(state, 'a', inFlight);
+    return gatewayFixture.assignWaiting(state, buildClocks(13 + inFlight));
   });
   assert.deepEqual(
     sent.filter(({ kind }) => kind === 'send').map(({ request }) => request.arrived.attemptId),
--- a/packages/core/src/gateway/evacuations.test.ts
+++ b/packages/core/src/gateway/evacuations.test.ts
@@ -1,10 +1,10 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as evacuations from './evacuations.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
-const { buildRevision } = gatewayBench;
+const { buildRevision } = gatewayFixture;
 
 /** Builds the word that a failure domain is evacuated, or taken back. */
 function buildChange(count: number, isEvacuated: boolean): evacuations.EvacuationChange {
--- a/packages/core/src/gateway/gateway-state.ts
+++ b/packages/core/src/gateway/gateway-state.ts
@@ -4,11 +4,11 @@
 import * as suspects from '../shared/suspects.js';
 import * as scheduler from '../scheduler/index.js';
 import * as backendServers from './backend-servers.js';
-import * as belief from './belief.js';
+import * as configurationLease from './configuration-lease.js';
 import type * as configurationIndex from './configuration-index.js';
 import type * as crashWatch from './crash-watch.js';
-import type * as callerPatience from './caller-patience.js';
-import * as fleetSplit from './fleet-split.js';
+import type * as deadlineStats from './deadline-stats.js';
+import * as cellMap from './cell-map.js';
 import type * as gatewayRequest from './gateway-request.js';
 import * as peerView from './peer-view.js';
 import type * as quotaLimit from './quota-limit.js';
@@ -71,9 +71,9 @@
   /** When the process started, milliseconds. */
   startedMs: number;
   index: configurationIndex.ConfigurationIndex | undefined;
-  belief: belief.Belief;
+  lease: configurationLease.ConfigurationLease;
   servers: backendServers.BackendServers;
-  split: fleetSplit.FleetSplit;
+  cellMap: cellMap.CellMap;
   /** Requests of this gateway by backend server. */
   inFlight: Map<string, number>;
   /** By cell: what its scheduler was told. */
@@ -84,7 +84,7 @@
   schedulingTotals: SchedulingTotals;
   services: Map<string, ServiceWork>;
   /** How long callers usually wait, by the name of the route. */
-  usualDeadlines: Map<string, callerPatience.UsualDeadline>;
+  usualDeadlines: Map<string, deadlineStats.UsualDeadline>;
   requests: Map<number, gatewayRequest.GatewayRequest>;
   quotas: tokenQuota.QuotaBook;
   peers: peerView.PeerView;
@@ -123,9 +123,9 @@
     drawRandom,
     startedMs: now,
     index: undefined,
-    belief: belief.createBelief(),
+    lease: configurationLease.createConfigurationLease(),
     servers: backendServers.createBackendServers(),
-    split: fleetSplit.createFleetSplit(),
+    cellMap: cellMap.createCellMap(),
     inFlight: new Map(),
     links: new Map(),
     ranking: schedulerRanking.createSchedulerRanking(),
@@ -167,5 +167,5 @@
 /** Computes the part of shared limits that this gateway may use by itself. */
 export function computeShare(state: GatewayState, now: number): number {
   const all = peerView.countGateways(state.peers);
-  return (all - peerView.countSilent(state.peers, now)) / all;
+  return (all - peerView.countUnreachablePeers(state.peers, now)) / all;
 }
--- a/packages/core/src/gateway/index.ts
+++ b/packages/core/src/gateway/index.ts
@@ -1,10 +1,10 @@
 /** The decisions of a gateway: requests go to backend servers without an agent. */
 export * from './assignment.js';
 export * from './attempt-end.js';
-export * from './answer-statements.js';
+export * from './response-statements.js';
 export * from './ask-receipt.js';
 export * from './backend-servers.js';
-export * from './belief.js';
+export * from './configuration-lease.js';
 export * from './configuration.js';
 export * from './evacuation-changes.js';
 export * from './evacuations.js';
@@ -12,7 +12,7 @@
 export * from './crash-watch.js';
 export * from './gateway-request.js';
 export * from './gateway-state.js';
-export * from './intake.js';
+export * from './request-admission.js';
 export * from './observations.js';
 export * from './peer-view.js';
 export * from './quota-limit.js';
@@ -23,15 +23,15 @@
 export * from './server-end.js';
 export * from './server-entries.js';
 export * from './server-statements.js';
-export * from './store-answers.js';
+export * from './store-responses.js';
 export * from './token-quota.js';
 export * from './warm-up-times.js';
 export type { BackendServerEntry } from '../shared/backend-server-entry.js';
 export * from '../shared/store-revision.js';
 export {
-  isWorkWaiting,
+  hasQueuedRequests as isWorkWaiting,
   type Candidate,
   type Scheduler,
-  type SchedulingNote,
+  type SchedulingDecision as SchedulingNote,
 } from '../scheduler/index.js';
 export { expireSuspects, listSuspects, mergeSuspects } from '../shared/suspects.js';
--- a/packages/core/src/gateway/mocks/datagram-network.ts
+++ b/packages/core/src/gateway/mocks/datagram-network.ts
@@ -10,20 +10,20 @@
   isCut: (from: string, to: string, now: number) => boolean;
 };
 
-type Datagram = { from: string; content: assignment.Outgoing; dueMs: number };
+type Datagram = { from: string; content: assignment.OutgoingMessage; dueMs: number };
 
-export type DatagramNetwork = { options: NetworkOptions; onWay: Datagram[] };
+export type DatagramNetwork = { options: NetworkOptions; inTransit: Datagram[] };
 
 /** Creates a network with nothing on its way. */
 export function createNetwork(options: NetworkOptions): DatagramNetwork {
-  return { options, onWay: [] };
+  return { options, inTransit: [] };
 }
 
 /** Sends datagrams. */
 export function sendDatagrams(
-  { options, onWay }: DatagramNetwork,
+  { options, inTransit: onWay }: DatagramNetwork,
   from: string,
-  outgoing: readonly assignment.Outgoing[],
+  outgoing: readonly assignment.OutgoingMessage[],
   now: number,
 ): void {
   outgoing
@@ -33,6 +33,9 @@
 }
 
 /** Takes the next datagram that arrives by a time; all take the same time on their way. */
-export function takeNext({ onWay }: DatagramNetwork, untilMs: number): Datagram | undefined {
+export function takeNextDue(
+  { inTransit: onWay }: DatagramNetwork,
+  untilMs: number,
+): Datagram | undefined {
   return onWay.length > 0 && onWay[0].dueMs <= untilMs ? onWay.shift() : undefined;
 }
--- a/packages/core/src/gateway/mocks/gateway-bench.ts
+++ b/packages/core/src/gateway/mocks/gateway-fixture.ts
@@ -1,5 +1,5 @@
 /** A gateway's state with two engines, and calls that tests make on it. */
-import * as belief from '../belief.js';
+import * as configurationLease from '../configuration-lease.js';
 import * as configurationIndex from '../configuration-index.js';
 import * as configuration from '../configuration.js';
 import type * as gatewayRequest from '../gateway-request.js';
@@ -7,8 +7,8 @@
 import type * as backendServerEntry from '../../shared/backend-server-entry.js';
 import type * as storeRevision from '../../shared/store-revision.js';
 import * as scheduler from '../../scheduler/index.js';
-import type * as serverLoad from '../../scheduler/server-load.js';
-import * as asking from '../asking.js';
+import type * as serverHealth from '../../scheduler/server-health.js';
+import * as pendingAsks from '../pending-asks.js';
 import * as assignment from '../assignment.js';
 import * as serverEntries from '../server-entries.js';
 
@@ -16,7 +16,7 @@
 export const ADDRESS = '10.0.0.1:1';
 
 /** Builds a reading in which all clocks agree. */
-export function buildClocks(steadyMs: number): belief.ClockReading {
+export function buildClocks(steadyMs: number): configurationLease.ClockReading {
   return { steadyMs, wallMs: steadyMs, uptimeMs: steadyMs };
 }
 
@@ -95,7 +95,7 @@
 }
 
 /** Creates a gateway with the given backend servers, confirmed at time 0. */
-export function createBench(
+export function createTestGateway(
   ids: readonly string[],
   routes: configuration.Route[] = [buildRoute()],
 ): gatewayState.GatewayState {
@@ -117,7 +117,7 @@
   };
   const state = gatewayState.createGatewayState(identity, bounds, () => 0.5, 0);
   state.index = configurationIndex.buildConfigurationIndex(buildConfiguration(1, routes));
-  belief.noteConfirmed(state.belief, buildClocks(0));
+  configurationLease.noteConfirmed(state.lease, buildClocks(0));
   ids.forEach((id) => serverEntries.applyEntry(state.servers, buildEntry(id), 0));
   return state;
 }
@@ -125,7 +125,7 @@
 /** Does what can be done, and lists what was sent and refused. */
 export function assignWaiting(
   state: gatewayState.GatewayState,
-  clocks: belief.ClockReading,
+  clocks: configurationLease.ClockReading,
 ): assignment.Assignment[] {
   return assignment.advance(state, clocks).assignments;
 }
@@ -139,14 +139,14 @@
 }
 
 /** Gets what its scheduler knows of a backend server. */
-export function getLoad(state: gatewayState.GatewayState, id: string): serverLoad.ServerLoad {
-  return scheduler.getLoad(getCell(state), id);
+export function getLoad(state: gatewayState.GatewayState, id: string): serverHealth.ServerHealth {
+  return scheduler.getServerHealth(getCell(state), id);
 }
 
 /** Sets how many other requests of the gateway are at a backend server. */
 export function setInFlight(state: gatewayState.GatewayState, id: string, requests: number): void {
   gatewayState.addInFlight(state, id, requests - (state.inFlight.get(id) ?? 0));
-  asking.noteNews(state, id, 'one');
+  pendingAsks.markLinkDirty(state, id, 'one');
 }
 
 /** Builds a request as its caller sent it. */
--- a/packages/core/src/gateway/observations.ts
+++ b/packages/core/src/gateway/observations.ts
@@ -1,6 +1,6 @@
 /** What a gateway sees of backend servers and tells their schedulers. */
 import * as schema from '@toucanproxy/schema';
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
 
@@ -13,7 +13,7 @@
   now: number,
 ): void {
   if (serverId !== undefined) {
-    asking.noteObservation(state, { serverId, service }, kind, ms, now);
+    pendingAsks.noteObservation(state, { serverId, service }, kind, ms, now);
   }
 }
 
--- a/packages/core/src/gateway/peer-view.ts
+++ b/packages/core/src/gateway/peer-view.ts
@@ -184,17 +184,17 @@
 }
 
 /** Counts the peers that have fallen silent. */
-export function countSilent(view: PeerView, now: number): number {
+export function countUnreachablePeers(view: PeerView, now: number): number {
   return view.byAddress.size - listFresh(view, now).length;
 }
 
 /** Lists the addresses of the peers that are heard. */
-export function listHeard(view: PeerView, now: number): string[] {
+export function listReachablePeers(view: PeerView, now: number): string[] {
   return listFresh(view, now).map(([address]) => address);
 }
 
 /** Lists everyone who is known, by own hearing or that of a peer. */
-export function listContacts(view: PeerView): string[] {
+export function listKnownAddresses(view: PeerView): string[] {
   return [...new Set([...view.byAddress.keys(), ...view.hearsay.keys()])];
 }
 
@@ -213,6 +213,6 @@
  * Notes a gateway that a peer hears. It gets reports from now on, but counts
  * only once it has been heard here: a peer may tell of one that has left.
  */
-export function addHearsay(view: PeerView, address: string, now: number): void {
+export function addIndirectPeer(view: PeerView, address: string, now: number): void {
   view.hearsay.set(address, now);
 }
--- a/packages/core/src/gateway/asking.ts
+++ b/packages/core/src/gateway/pending-asks.ts
@@ -1,6 +1,6 @@
 /** What a gateway wants to ask the schedulers of cells for, and to tell them. */
 import * as schema from '@toucanproxy/schema';
-import * as fleetSplit from './fleet-split.js';
+import * as cellMap from './cell-map.js';
 import * as gatewayRequest from './gateway-request.js';
 import * as gatewayState from './gateway-state.js';
 import * as schedulerLink from './scheduler-link.js';
@@ -10,12 +10,12 @@
 const MAX_KEPT_OBSERVATIONS = 48;
 
 /** Gets the cells of a service. */
-export function getSplit(
+export function getServiceCells(
   state: gatewayState.GatewayState,
   service: string,
   now: number,
-): fleetSplit.ServiceSplit {
-  return fleetSplit.getServiceSplit(state.split, state.servers, service, now);
+): cellMap.ServiceCells {
+  return cellMap.getServiceCells(state.cellMap, state.servers, service, now);
 }
 
 /** Chooses who schedules a cell. */
@@ -61,7 +61,7 @@
   request: gatewayRequest.GatewayRequest,
   now: number,
 ): string | undefined {
-  const { cellNames } = getSplit(state, request.service, now);
+  const { cellNames } = getServiceCells(state, request.service, now);
   const left = cellNames.filter((name) => !request.declinedCells.has(name));
   const drawOne = () => left.splice(Math.floor(state.drawRandom() * left.length), 1)[0];
   const first = left.length > 0 ? drawOne() : undefined;
@@ -123,12 +123,12 @@
 }
 
 /** Notes that a place was left, or other news, so that its scheduler hears of it at once. */
-export function noteNews(
+export function markLinkDirty(
   state: gatewayState.GatewayState,
   serverId: string,
   service: string,
 ): void {
-  const cellName = fleetSplit.findCellOf(state.split, service, serverId);
+  const cellName = cellMap.findServerCell(state.cellMap, service, serverId);
   const link = state.links.get(cellName ?? '');
   if (link !== undefined) {
     link.isDirty = true;
@@ -143,7 +143,7 @@
   ms: number,
   now: number,
 ): void {
-  const cellName = getSplit(state, service, now).cellByServer.get(serverId);
+  const cellName = getServiceCells(state, service, now).cellByServer.get(serverId);
   if (cellName === undefined) {
     return;
   }
--- a/packages/core/src/gateway/rate-limits.test.ts
+++ b/packages/core/src/gateway/rate-limits.test.ts
@@ -2,9 +2,9 @@
 import * as nodeTest from 'node:test';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
-import * as intake from './intake.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
-import * as answerStatements from './answer-statements.js';
+import * as requestAdmission from './request-admission.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
+import * as responseStatements from './response-statements.js';
 import * as serverEntries from './server-entries.js';
 import * as serverStatements from './server-statements.js';
 
@@ -16,10 +16,10 @@
   state: gatewayState.GatewayState,
   atMs: number,
 ): gatewayRequest.GatewayRequest {
-  const arrived = gatewayBench.buildArrived(`call-${atMs}`);
-  const clocks = gatewayBench.buildClocks(atMs);
-  assert.equal(intake.admitRequest(state, arrived, clocks).kind, 'admitted');
-  const [sent] = gatewayBench.assignWaiting(state, clocks);
+  const arrived = gatewayFixture.buildArrived(`call-${atMs}`);
+  const clocks = gatewayFixture.buildClocks(atMs);
+  assert.equal(requestAdmission.admitRequest(state, arrived, clocks).kind, 'admitted');
+  const [sent] = gatewayFixture.assignWaiting(state, clocks);
   assert.equal(sent.kind, 'send');
   return sent.request;
 }
@@ -32,8 +32,8 @@
   now: number,
   isSigned = true,
 ): serverStatements.StatementChange | undefined {
-  const stated = { ...serverStatements.NOTHING_STATED, perSecond, isSigned };
-  const [change] = answerStatements.noteAnswerStatement(state, request, stated, now);
+  const stated = { ...serverStatements.EMPTY_STATEMENT, perSecond, isSigned };
+  const [change] = responseStatements.noteResponseStatement(state, request, stated, now);
   return change;
 }
 
@@ -47,7 +47,7 @@
 }
 
 test('limit is named, changed and lifted', () => {
-  const state = gatewayBench.createBench([SERVER]);
+  const state = gatewayFixture.createTestGateway([SERVER]);
   const first = sendRequest(state, 10);
   const named = noteRateLimit(state, first, 1.5, 20);
   assert.deepEqual(named, {
@@ -60,7 +60,7 @@
   const changed = noteRateLimit(state, first, 3, 30);
   assert.deepEqual(changed, { server: SERVER, change: 'rate-limit', perSecond: 3, before: 1.5 });
   assert.deepEqual(listRateLimits(state), [[SERVER, 3]]);
-  gatewayBench.assignWaiting(state, gatewayBench.buildClocks(40));
+  gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(40));
   const later = sendRequest(state, 1040);
   const lifted = noteRateLimit(state, later, undefined, 1050);
   assert.deepEqual(lifted, {
@@ -74,7 +74,7 @@
 
 test('answer from before the overload lifts no limit', () => {
   // Guards against a limit that ends with a late answer to a request sent before it.
-  const state = gatewayBench.createBench([SERVER]);
+  const state = gatewayFixture.createTestGateway([SERVER]);
   const early = sendRequest(state, 10);
   const other = sendRequest(state, 11);
   noteRateLimit(state, other, 2, 20);
@@ -83,18 +83,18 @@
 });
 
 test('limit ends with the life of its server', () => {
-  const state = gatewayBench.createBench([SERVER]);
+  const state = gatewayFixture.createTestGateway([SERVER]);
   noteRateLimit(state, sendRequest(state, 10), 2, 20);
-  const reborn = gatewayBench.buildEntry(SERVER, { bornMs: 2 });
+  const reborn = gatewayFixture.buildEntry(SERVER, { bornMs: 2 });
   serverEntries.applyEntry(state.servers, reborn, 30);
   assert.deepEqual(listRateLimits(state), []);
 });
 
 test('refusal that is not signed lifts no limit', () => {
   // Guards against a full server whose plain refusals end the limit that it has named.
-  const state = gatewayBench.createBench([SERVER]);
+  const state = gatewayFixture.createTestGateway([SERVER]);
   noteRateLimit(state, sendRequest(state, 10), 2, 20);
-  gatewayBench.assignWaiting(state, gatewayBench.buildClocks(30));
+  gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(30));
   const later = sendRequest(state, 1040);
   assert.equal(noteRateLimit(state, later, undefined, 1050, false), undefined);
   assert.deepEqual(listRateLimits(state), [[SERVER, 2]]);
--- a/packages/core/src/gateway/intake.ts
+++ b/packages/core/src/gateway/request-admission.ts
@@ -1,9 +1,9 @@
 /** Decides whether an arrived request is taken in. */
 import * as schema from '@toucanproxy/schema';
 import * as retryBudget from '../shared/retry-budget.js';
-import * as asking from './asking.js';
-import type * as belief from './belief.js';
-import * as callerPatience from './caller-patience.js';
+import * as pendingAsks from './pending-asks.js';
+import type * as configurationLease from './configuration-lease.js';
+import * as deadlineStats from './deadline-stats.js';
 import * as crashWatch from './crash-watch.js';
 import * as configurationIndex from './configuration-index.js';
 import * as configuration from './configuration.js';
@@ -14,7 +14,7 @@
 import * as refusal from './refusal.js';
 import * as regionBinding from './region-binding.js';
 import * as rights from './rights.js';
-import * as strandedRequests from './stranded-requests.js';
+import * as unservableRequests from './unservable-requests.js';
 import * as tokenQuota from './token-quota.js';
 
 /** Work of a request of a plain service, in tokens; only ratios matter. */
@@ -32,7 +32,7 @@
 /** Routes whose deadlines are remembered; bounds the memory as routes come and go. */
 const MAX_USUAL_DEADLINES = 4096;
 
-export type Intake =
+export type AdmissionResult =
   | { kind: 'admitted'; request: gatewayRequest.GatewayRequest }
   | { kind: 'refused'; refusal: refusal.Refusal };
 
@@ -73,10 +73,10 @@
   if (usualDeadlines.size > MAX_USUAL_DEADLINES) {
     usualDeadlines.clear();
   }
-  const usual = usualDeadlines.get(routeName) ?? callerPatience.createUsualDeadline();
+  const usual = usualDeadlines.get(routeName) ?? deadlineStats.createUsualDeadline();
   usualDeadlines.set(routeName, usual);
-  callerPatience.noteDeadline(usual, workspace, deadlineMs);
-  return callerPatience.estimateTriedMs(usual, workspace, deadlineMs);
+  deadlineStats.noteDeadline(usual, workspace, deadlineMs);
+  return deadlineStats.estimateTriedMs(usual, workspace, deadlineMs);
 }
 
 /** Makes the record of a request that has the given rights. */
@@ -169,15 +169,15 @@
   if (crashWatch.isContentRefused(state, request.arrived.hashContent)) {
     return refusal.buildRefusal(schema.ResultCode.CONTENT_SUSPENDED);
   }
-  return strandedRequests.findStranding(state, request, now);
+  return unservableRequests.findUnservableRefusal(state, request, now);
 }
 
 /** Takes an arrived request in, or refuses it. */
 export function admitRequest(
   state: gatewayState.GatewayState,
   arrived: gatewayRequest.ArrivedRequest,
-  clocks: belief.ClockReading,
-): Intake {
+  clocks: configurationLease.ClockReading,
+): AdmissionResult {
   const now = clocks.steadyMs;
   const decision = rights.findRights(state, arrived, clocks);
   if (decision.kind === 'refused') {
@@ -198,6 +198,6 @@
   }
   state.requests.set(request.serial, request);
   retryBudget.noteFirstAttempt(gatewayState.getServiceWork(state, service).retries, now);
-  asking.askPlace(state, request, now);
+  pendingAsks.askPlace(state, request, now);
   return { kind: 'admitted', request };
 }
--- a/packages/core/src/gateway/request-end.ts
+++ b/packages/core/src/gateway/request-end.ts
@@ -1,6 +1,6 @@
 /** Ends requests and settles their accounts. */
 import * as schema from '@toucanproxy/schema';
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import type * as gatewayRequest from './gateway-request.js';
 import * as gatewayState from './gateway-state.js';
 import * as refusal from './refusal.js';
@@ -14,7 +14,7 @@
   const { serverId, service } = request;
   if (serverId !== undefined) {
     gatewayState.addInFlight(state, serverId, -1);
-    asking.noteNews(state, serverId, service);
+    pendingAsks.markLinkDirty(state, serverId, service);
     request.serverId = undefined;
   }
 }
@@ -63,7 +63,7 @@
   request: gatewayRequest.GatewayRequest,
   mayHaveRun: boolean,
 ): void {
-  asking.withdrawAsk(state, request);
+  pendingAsks.withdrawAsk(state, request);
   if (mayHaveRun) {
     endRequest(state, request);
   } else {
--- a/packages/core/src/gateway/answer-statements.ts
+++ b/packages/core/src/gateway/response-statements.ts
@@ -1,18 +1,18 @@
 /** Takes in what an answer states about its backend server, and has its scheduler told. */
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import * as backendServers from './backend-servers.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
 import type * as serverStatements from './server-statements.js';
 
 /** What an answer says in its head. */
-export type StatedValues = Omit<serverStatements.AnswerStatement, 'answered' | 'sentWallMs'> & {
+export type StatedValues = Omit<serverStatements.ResponseStatement, 'answered' | 'sentWallMs'> & {
   /** The backend server has signed the answer. */
   isSigned: boolean;
 };
 
 /** Takes in what the answer to a request states, and gives what is news. */
-export function noteAnswerStatement(
+export function noteResponseStatement(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   { isSigned, ...values }: StatedValues,
@@ -27,7 +27,7 @@
   const life = { id: serverId, bornMs: serverBornMs };
   const changes = backendServers.applyStatement(state.servers, life, statement, now);
   if (changes.length > 0) {
-    asking.noteNews(state, serverId, service);
+    pendingAsks.markLinkDirty(state, serverId, service);
   }
   return changes;
 }
--- a/packages/core/src/gateway/rights.ts
+++ b/packages/core/src/gateway/rights.ts
@@ -1,6 +1,6 @@
 /** Which route and workspace a request has by the configuration in force. */
 import * as schema from '@toucanproxy/schema';
-import * as belief from './belief.js';
+import * as configurationLease from './configuration-lease.js';
 import * as configurationIndex from './configuration-index.js';
 import type * as configuration from './configuration.js';
 import type * as gatewayRequest from './gateway-request.js';
@@ -31,17 +31,17 @@
 export function findRights(
   state: gatewayState.GatewayState,
   arrived: gatewayRequest.ArrivedRequest,
-  clocks: belief.ClockReading,
+  clocks: configurationLease.ClockReading,
 ): RightsDecision {
   const { index, bounds } = state;
   if (index === undefined) {
     const wait = refusal.ELSEWHERE_RETRY_AFTER_MS;
     return refuse(schema.ResultCode.CONFIGURATION_UNCONFIRMED, wait);
   }
-  const standing = belief.getStanding(state.belief, true, bounds.leaseMs, clocks);
+  const standing = configurationLease.getLeaseStatus(state.lease, true, bounds.leaseMs, clocks);
   const route = configurationIndex.findRoute(index, arrived.host, arrived.path);
   const open = route?.isPublic === true || index.workspaceByCredential === undefined;
-  if (standing !== belief.Standing.CONFIRMED && !open) {
+  if (standing !== configurationLease.LeaseStatus.CONFIRMED && !open) {
     const wait = refusal.ELSEWHERE_RETRY_AFTER_MS;
     return refuse(schema.ResultCode.CONFIGURATION_UNCONFIRMED, wait);
   }
--- a/packages/core/src/gateway/place-answers.ts
+++ b/packages/core/src/gateway/schedule-replies.ts
@@ -15,7 +15,7 @@
 import * as schedulerRanking from './scheduler-ranking.js';
 
 /** What a scheduler decided on a request that waits here. */
-export type PlaceAnswer =
+export type ReplyOutcome =
   | {
       kind: 'granted';
       request: gatewayRequest.GatewayRequest;
@@ -39,13 +39,13 @@
   link: schedulerLink.SchedulerLink,
   grant: schema.PlaceGrant,
   isFresh: boolean,
-): PlaceAnswer[] {
+): ReplyOutcome[] {
   const { number, serial, serverId, idleFirstMs, isRateLimited } = grant;
   const entry = grant.entry && {
     ...grant.entry,
     id: serverId,
     leaving: false,
-    revision: grant.entry.revision ?? storeRevision.BEFORE_ALL,
+    revision: grant.entry.revision ?? storeRevision.EARLIEST_REVISION,
   };
   link.lastGrant = Math.max(link.lastGrant, number);
   const ask = link.asks.get(serial);
@@ -77,7 +77,7 @@
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
   { serial, isOnArrival, retryAfterMs }: schema.PlaceRefusal,
-): PlaceAnswer[] {
+): ReplyOutcome[] {
   const request = state.requests.get(serial);
   if (!link.asks.delete(serial) || request === undefined) {
     return [];
@@ -96,14 +96,14 @@
   state: gatewayState.GatewayState,
   reply: schema.ScheduleReply,
   now: number,
-): PlaceAnswer[] {
+): ReplyOutcome[] {
   const link = state.links.get(reply.cell);
   if (link?.address !== reply.address) {
     return [];
   }
-  schedulerRanking.noteAnswering(state.ranking, reply.address);
+  schedulerRanking.clearUnreachable(state.ranking, reply.address);
   const askedMs = link.sentMs.get(reply.echo) ?? -Infinity;
-  schedulerLink.noteAnswer(link, reply.life, reply.echo);
+  schedulerLink.noteReply(link, reply.life, reply.echo);
   link.places = reply.places;
   link.load = reply.taken + reply.queued;
   reply.accepted.forEach((serial) => {
--- a/packages/core/src/gateway/scheduler-link.ts
+++ b/packages/core/src/gateway/scheduler-link.ts
@@ -78,7 +78,7 @@
 }
 
 /** Notes an answer; a scheduler that has restarted has forgotten what it was told. */
-export function noteAnswer(link: SchedulerLink, life: string, echo: number): void {
+export function noteReply(link: SchedulerLink, life: string, echo: number): void {
   if (link.life !== '' && link.life !== life) {
     clearAccepted(link);
   }
--- a/packages/core/src/gateway/scheduler-ranking.ts
+++ b/packages/core/src/gateway/scheduler-ranking.ts
@@ -76,7 +76,7 @@
   ranking.computedMs = now;
   ranking.revision = view.revision;
   const all = peerView.countGateways(view);
-  ranking.heardShare = (all - peerView.countSilent(view, now)) / all;
+  ranking.heardShare = (all - peerView.countUnreachablePeers(view, now)) / all;
   applyAddresses(ranking, listSchedulers(view, own, now));
 }
 
@@ -95,17 +95,17 @@
   }
   ranking.addresses = addresses;
   ranking.byCell.forEach((order, cell) =>
-    ranking.byCell.set(cell, scheduler.updateSchedulers(cell, order, added, gone)),
+    ranking.byCell.set(cell, scheduler.updateSchedulerOrder(cell, order, added, gone)),
   );
 }
 
 /** Notes that a scheduler did not answer. */
-export function noteSilent(ranking: SchedulerRanking, address: string, now: number): void {
+export function markUnreachable(ranking: SchedulerRanking, address: string, now: number): void {
   ranking.silentUntilMs.set(address, now + SILENT_MS);
 }
 
 /** Notes that a scheduler has answered. */
-export function noteAnswering(ranking: SchedulerRanking, address: string): void {
+export function clearUnreachable(ranking: SchedulerRanking, address: string): void {
   ranking.silentUntilMs.delete(address);
 }
 
--- a/packages/core/src/gateway/server-admission.test.ts
+++ b/packages/core/src/gateway/server-admission.test.ts
@@ -4,8 +4,8 @@
 import * as backendServers from './backend-servers.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
-import * as intake from './intake.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as requestAdmission from './request-admission.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 import * as serverAdmission from './server-admission.js';
 import * as serverEntries from './server-entries.js';
 import * as serverStatements from './server-statements.js';
@@ -18,9 +18,13 @@
   state: gatewayState.GatewayState;
   request: gatewayRequest.GatewayRequest;
 } {
-  const state = gatewayBench.createBench([LIFE.id]);
-  intake.admitRequest(state, gatewayBench.buildArrived('call'), gatewayBench.buildClocks(1));
-  const [{ kind, request }] = gatewayBench.assignWaiting(state, gatewayBench.buildClocks(1));
+  const state = gatewayFixture.createTestGateway([LIFE.id]);
+  requestAdmission.admitRequest(
+    state,
+    gatewayFixture.buildArrived('call'),
+    gatewayFixture.buildClocks(1),
+  );
+  const [{ kind, request }] = gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(1));
   assert.equal(kind, 'send');
   return { state, request };
 }
@@ -33,11 +37,11 @@
 test('nothing is sent after a departure or during a backoff', () => {
   // Guards against requests that were assigned before the answer and connect after it.
   const leaving = createAssigned();
-  const departure = { ...serverStatements.NOTHING_STATED, isLeaving: true };
+  const departure = { ...serverStatements.EMPTY_STATEMENT, isLeaving: true };
   backendServers.applyStatement(leaving.state.servers, LIFE, departure, 50);
   assert.equal(serverAdmission.isStillUsable(leaving.state, leaving.request, 100), false);
   const backingOff = createAssigned();
-  const backoff = { ...serverStatements.NOTHING_STATED, backoffMs: 200 };
+  const backoff = { ...serverStatements.EMPTY_STATEMENT, backoffMs: 200 };
   backendServers.applyStatement(backingOff.state.servers, LIFE, backoff, 50);
   assert.equal(serverAdmission.isStillUsable(backingOff.state, backingOff.request, 100), false);
   assert.ok(serverAdmission.isStillUsable(backingOff.state, backingOff.request, 300));
@@ -45,19 +49,19 @@
 
 test('nothing is sent to another life', () => {
   const { state, request } = createAssigned();
-  serverEntries.applyEntry(state.servers, gatewayBench.buildEntry('a', { bornMs: 2 }), 50);
+  serverEntries.applyEntry(state.servers, gatewayFixture.buildEntry('a', { bornMs: 2 }), 50);
   assert.equal(serverAdmission.isStillUsable(state, request, 100), false);
 });
 
 test('withdrawn request waits again and blames nobody', () => {
   // Guards against a backend server that is paused for a request which it never got.
   const { state, request } = createAssigned();
-  const clocks = gatewayBench.buildClocks(50);
+  const clocks = gatewayFixture.buildClocks(50);
   const fault = attemptEnd.AttemptFault.WITHDRAWN;
-  const progress = { hasBegun: false, canGoOn: true };
+  const progress = { hasBegun: false, canResume: true };
   const verdict = attemptEnd.handleAttemptFault(state, request, fault, progress, clocks);
   assert.equal(verdict.kind, 'again');
   assert.equal(request.runs, 0);
-  gatewayBench.assignWaiting(state, clocks);
-  assert.equal(gatewayBench.getLoad(state, 'a').failuresInRow, 0);
+  gatewayFixture.assignWaiting(state, clocks);
+  assert.equal(gatewayFixture.getLoad(state, 'a').failuresInRow, 0);
 });
--- a/packages/core/src/gateway/server-entries.test.ts
+++ b/packages/core/src/gateway/server-entries.test.ts
@@ -2,12 +2,12 @@
 import * as nodeTest from 'node:test';
 import * as backendServers from './backend-servers.js';
 import * as evacuationChanges from './evacuation-changes.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 import * as serverEntries from './server-entries.js';
 import * as warmUpTimes from './warm-up-times.js';
 
 const { test } = nodeTest;
-const { buildEntry, buildRevision } = gatewayBench;
+const { buildEntry, buildRevision } = gatewayFixture;
 const RETURN_MS = 2000;
 const HELD_MS = 6000;
 const DOMAIN = 'd1';
@@ -77,7 +77,7 @@
   evacuationChanges.applyEvacuations(servers, [buildWord(100, 1, true)], 0);
   const revision = buildRevision(90, 2);
   assert.deepEqual(evacuationChanges.applyEvacuationList(servers, [], revision, 1000), []);
-  serverEntries.noteRead(servers, revision);
+  serverEntries.noteReadRevision(servers, revision);
   assert.deepEqual(evacuationChanges.expireEvacuations(servers, 1000 + HELD_MS - 1), []);
   assert.equal(isUsable(servers, 'a', 1000 + HELD_MS - 1), false);
   assert.equal(evacuationChanges.expireEvacuations(servers, 1000 + HELD_MS).length, 1);
@@ -96,9 +96,17 @@
   // Guards against news that is refused as older than all that was read before.
   const servers = createRead([]);
   readBackup(servers, [], 90, 1000);
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(120, 1) }), 1001);
+  serverEntries.applyGrantedEntry(
+    servers,
+    buildEntry('a', { revision: buildRevision(120, 1) }),
+    1001,
+  );
   assert.equal(isUsable(servers, 'a', 1001), false);
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(91, 2) }), 1002);
+  serverEntries.applyGrantedEntry(
+    servers,
+    buildEntry('a', { revision: buildRevision(91, 2) }),
+    1002,
+  );
   assert.equal(isUsable(servers, 'a', 1002), true);
 });
 
@@ -137,7 +145,7 @@
   const entry = buildEntry('a', { revision: buildRevision(40, 1) });
   const servers = createRead([entry]);
   serverEntries.removeEntry(servers, 'a', 500);
-  serverEntries.applyTold(servers, { ...entry, revision: buildRevision(101, 1) }, 600);
+  serverEntries.applyGrantedEntry(servers, { ...entry, revision: buildRevision(101, 1) }, 600);
   assert.equal(isUsable(servers, 'a', 600), true);
 });
 
--- a/packages/core/src/gateway/server-entries.ts
+++ b/packages/core/src/gateway/server-entries.ts
@@ -183,7 +183,7 @@
 }
 
 /** Notes that this gateway has read everything up to a revision of the store. */
-export function noteRead(
+export function noteReadRevision(
   servers: backendServers.BackendServers,
   revision: storeRevision.StoreRevision,
 ): void {
@@ -200,7 +200,7 @@
  * What this gateway has read goes first: an entry that is not newer and that it does not
  * know has been removed.
  */
-export function applyTold(
+export function applyGrantedEntry(
   servers: backendServers.BackendServers,
   entry: backendServerEntry.BackendServerEntry,
   now: number,
@@ -227,7 +227,7 @@
     .map(([id]) => id);
   const isNewEpoch = revision.epoch > servers.readRevision.epoch;
   const applyOne = isNewEpoch ? applyRestored : applyEntry;
-  noteRead(servers, revision);
+  noteReadRevision(servers, revision);
   return [
     ...entries.map((entry) => applyOne(servers, entry, now)),
     ...missing.map((id) => removeEntry(servers, id, now)),
--- a/packages/core/src/gateway/server-statements.test.ts
+++ b/packages/core/src/gateway/server-statements.test.ts
@@ -1,19 +1,19 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as backendServers from './backend-servers.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 import * as serverEntries from './server-entries.js';
 import * as serverStatements from './server-statements.js';
 
 const { test } = nodeTest;
 const LIFE = { id: 'a', bornMs: 1 };
-const LEAVING = { ...serverStatements.NOTHING_STATED, isLeaving: true };
-const BACKOFF = { ...serverStatements.NOTHING_STATED, backoffMs: 3000 };
+const LEAVING = { ...serverStatements.EMPTY_STATEMENT, isLeaving: true };
+const BACKOFF = { ...serverStatements.EMPTY_STATEMENT, backoffMs: 3000 };
 
 /** Creates a register with one backend server. */
 function createServers(): backendServers.BackendServers {
   const servers = backendServers.createBackendServers();
-  serverEntries.applyEntry(servers, gatewayBench.buildEntry(LIFE.id), 0);
+  serverEntries.applyEntry(servers, gatewayFixture.buildEntry(LIFE.id), 0);
   return servers;
 }
 
@@ -41,7 +41,7 @@
 test('statement of an earlier life says nothing of the next', () => {
   // Guards against a late answer that takes a restarted server out of service for good.
   const servers = createServers();
-  serverEntries.applyEntry(servers, gatewayBench.buildEntry('a', { bornMs: 2 }), 10);
+  serverEntries.applyEntry(servers, gatewayFixture.buildEntry('a', { bornMs: 2 }), 10);
   assert.deepEqual(backendServers.applyStatement(servers, LIFE, LEAVING, 20), []);
   assert.equal(serverStatements.isLeaving(servers.statements, { id: 'a', bornMs: 2 }), false);
 });
@@ -52,14 +52,14 @@
   backendServers.applyStatement(servers, LIFE, LEAVING, 10);
   serverEntries.removeEntry(servers, 'a', 20);
   serverEntries.expireMissing(servers, 5000);
-  serverEntries.applyEntry(servers, gatewayBench.buildEntry('a'), 6000);
+  serverEntries.applyEntry(servers, gatewayFixture.buildEntry('a'), 6000);
   assert.ok(serverStatements.isLeaving(servers.statements, LIFE));
 });
 
 test('statements of earlier lives are dropped', () => {
   const servers = createServers();
   backendServers.applyStatement(servers, LIFE, LEAVING, 10);
-  serverEntries.applyEntry(servers, gatewayBench.buildEntry('a', { bornMs: 2 }), 20);
+  serverEntries.applyEntry(servers, gatewayFixture.buildEntry('a', { bornMs: 2 }), 20);
   serverEntries.expireMissing(servers, 30);
   assert.equal(servers.statements.size, 0);
 });
--- a/packages/core/src/gateway/server-statements.ts
+++ b/packages/core/src/gateway/server-statements.ts
@@ -42,7 +42,7 @@
 };
 
 /** What one answer states. */
-export type AnswerStatement = {
+export type ResponseStatement = {
   /** When the request was sent, milliseconds since the Unix epoch. */
   sentWallMs: number;
   isLeaving: boolean;
@@ -64,7 +64,7 @@
 };
 
 /** An answer that states nothing. */
-export const NOTHING_STATED: AnswerStatement = {
+export const EMPTY_STATEMENT: ResponseStatement = {
   sentWallMs: 0,
   isLeaving: false,
   backoffMs: undefined,
@@ -151,7 +151,7 @@
 /** Finds the rate limit after an answer. */
 function findRateLimit(
   known: NamedLimit | undefined,
-  { perSecond, answered }: AnswerStatement,
+  { perSecond, answered }: ResponseStatement,
   now: number,
 ): NamedLimit | undefined {
   const isNews = perSecond !== undefined || isLifting(known, answered);
@@ -163,7 +163,7 @@
   server: string,
   before: ServerStatement | undefined,
   after: ServerStatement,
-  { backoffMs }: AnswerStatement,
+  { backoffMs }: ResponseStatement,
   now: number,
 ): StatementChange[] {
   const changes: StatementChange[] = [];
@@ -187,7 +187,7 @@
 export function noteStatement(
   statements: ServerStatements,
   life: ServerLife,
-  stated: AnswerStatement,
+  stated: ResponseStatement,
   now: number,
 ): StatementChange[] {
   const known = getStatement(statements, life);
--- a/packages/core/src/gateway/store-answers.ts
+++ b/packages/core/src/gateway/store-responses.ts
@@ -6,16 +6,16 @@
  * that starts then reads keys which were taken away as valid. Until the store has caught up it
  * confirms nothing, so that callers with keys are refused and find another gateway.
  */
-import * as belief from './belief.js';
+import * as configurationLease from './configuration-lease.js';
 import type * as gatewayState from './gateway-state.js';
 import * as peerView from './peer-view.js';
 
 /** What follows from an answer. */
-export type StoreAnswerOutcome = {
+export type StoreResponseOutcome = {
   /** All is to be listed next: changes alone may leave something out for a moment. */
   isListDue: boolean;
   /** News of whether the store is behind, for the log. */
-  news: 'store-behind' | 'store-caught-up' | undefined;
+  logEvent: 'store-behind' | 'store-caught-up' | undefined;
 };
 
 /**
@@ -39,26 +39,26 @@
  * @param sent reading of the clocks when the call was sent
  * @param isList the answer lists everything; else it tells changes
  */
-export function noteStoreAnswer(
+export function noteStoreResponse(
   state: gatewayState.GatewayState,
-  sent: belief.ClockReading,
+  sent: configurationLease.ClockReading,
   isList: boolean,
   now: number,
-): StoreAnswerOutcome {
-  const { belief: known } = state;
+): StoreResponseOutcome {
+  const { lease: known } = state;
   const isBehind = isBehindPeers(state, sent.steadyMs);
   const wasBehind = known.behindSinceMs !== undefined;
   if (!isBehind) {
-    belief.noteConfirmed(known, sent);
-    return { isListDue: false, news: wasBehind ? 'store-caught-up' : undefined };
+    configurationLease.noteConfirmed(known, sent);
+    return { isListDue: false, logEvent: wasBehind ? 'store-caught-up' : undefined };
   }
   if (!isList && !wasBehind) {
-    belief.noteConfirmed(known, sent);
-    return { isListDue: true, news: undefined };
+    configurationLease.noteConfirmed(known, sent);
+    return { isListDue: true, logEvent: undefined };
   }
-  belief.noteBehind(known, now);
+  configurationLease.noteBehind(known, now);
   if (now - (known.behindSinceMs ?? now) > BEHIND_MOST_MS) {
     known.confirmed = sent;
   }
-  return { isListDue: false, news: wasBehind ? undefined : 'store-behind' };
+  return { isListDue: false, logEvent: wasBehind ? undefined : 'store-behind' };
 }
--- a/packages/core/src/gateway/token-quota.test.ts
+++ b/packages/core/src/gateway/token-quota.test.ts
@@ -257,16 +257,16 @@
     const address = `10.0.${Math.floor(index / 200)}.${index % 200}:1`;
     peerView.applyReport(view, { ...buildReport(1, 0), address }, 0);
   }
-  assert.equal(peerView.countSilent(view, 6000), 0);
-  assert.equal(peerView.countSilent(view, 30_000), 409);
+  assert.equal(peerView.countUnreachablePeers(view, 6000), 0);
+  assert.equal(peerView.countUnreachablePeers(view, 30_000), 409);
 });
 
 test('silent peers count, departed ones do not', () => {
   const view = peerView.createPeerView();
   peerView.applyReport(view, buildReport(1, 0), 0);
   assert.equal(peerView.countGateways(view), 2);
-  assert.equal(peerView.countSilent(view, 900), 0);
-  assert.equal(peerView.countSilent(view, 5000), 1);
+  assert.equal(peerView.countUnreachablePeers(view, 900), 0);
+  assert.equal(peerView.countUnreachablePeers(view, 5000), 1);
   assert.equal(peerView.listSchedulerCandidates(view, 900).length, 1);
   assert.equal(peerView.listSchedulerCandidates(view, 5000).length, 0);
   peerView.applyReport(view, { ...buildReport(2, 0), leaving: true }, 5001);
--- a/packages/core/src/gateway/stranded-requests.test.ts
+++ b/packages/core/src/gateway/unservable-requests.test.ts
@@ -6,22 +6,22 @@
 import type * as configuration from './configuration.js';
 import * as configurationIndex from './configuration-index.js';
 import type * as gatewayState from './gateway-state.js';
-import * as intake from './intake.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as requestAdmission from './request-admission.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
-const { buildArrived, buildClocks, buildRoute } = gatewayBench;
+const { buildArrived, buildClocks, buildRoute } = gatewayFixture;
 const DOMAINS = ['d1', 'd2'];
 
 /** Creates a gateway with a backend server in each of two domains, of a region each. */
 function createState(changes: Partial<configuration.Route> = {}): gatewayState.GatewayState {
-  const state = gatewayBench.createBench([], [buildRoute(changes)]);
+  const state = gatewayFixture.createTestGateway([], [buildRoute(changes)]);
   state.regionByDomain = new Map([
     ['d1', 'r1'],
     ['d2', 'r2'],
   ]);
   DOMAINS.forEach((failureDomain) => {
-    const entry = gatewayBench.buildEntry(`in-${failureDomain}`, { failureDomain });
+    const entry = gatewayFixture.buildEntry(`in-${failureDomain}`, { failureDomain });
     serverEntries.applyEntry(state.servers, entry, 0);
   });
   return state;
@@ -34,7 +34,7 @@
   count: number,
   isEvacuated = true,
 ): void {
-  const revision = gatewayBench.buildRevision(count);
+  const revision = gatewayFixture.buildRevision(count);
   const changes = domains.map((failureDomain) => ({ failureDomain, isEvacuated, revision }));
   evacuationChanges.applyEvacuations(state.servers, changes, 0);
 }
@@ -42,9 +42,13 @@
 /** Takes requests in, and lists where they were sent or why they were refused. */
 function listEnds(state: gatewayState.GatewayState, count: number): string[] {
   const refused = Array.from({ length: count }, (_, index) =>
-    intake.admitRequest(state, buildArrived(`${state.nextSerial} ${index}`), buildClocks(1)),
+    requestAdmission.admitRequest(
+      state,
+      buildArrived(`${state.nextSerial} ${index}`),
+      buildClocks(1),
+    ),
   ).flatMap((one) => (one.kind === 'refused' ? [one.refusal.code] : []));
-  const ends = gatewayBench.assignWaiting(state, buildClocks(2));
+  const ends = gatewayFixture.assignWaiting(state, buildClocks(2));
   return [
     ...refused.map((code) => schema.ResultCode[code]),
     ...ends.map((one) => {
@@ -93,10 +97,10 @@
 
 /** Binds the workspace of all calls to the second region, and the route to some. */
 function applyRegions(state: gatewayState.GatewayState, routeRegions: string[]): void {
-  const names = { name: 'w1', credentials: [gatewayBench.KEY] };
+  const names = { name: 'w1', credentials: [gatewayFixture.KEY] };
   const workspace = { ...names, urgency: undefined, quota: undefined, regions: ['r2'] };
   const routes = [buildRoute({ regions: routeRegions })];
-  const given = gatewayBench.buildConfiguration(2, routes, [workspace]);
+  const given = gatewayFixture.buildConfiguration(2, routes, [workspace]);
   state.index = configurationIndex.buildConfigurationIndex(given);
 }
 
@@ -127,9 +131,9 @@
   // before a place in the first one is granted: it is not used.
   const state = createState();
   assert.equal(listEnds(state, 5).length, 4);
-  const next = gatewayBench.buildConfiguration(2, [buildRoute({ regions: ['r2'] })]);
+  const next = gatewayFixture.buildConfiguration(2, [buildRoute({ regions: ['r2'] })]);
   state.index = configurationIndex.buildConfigurationIndex(next);
-  gatewayBench.setInFlight(state, 'in-d1', 1);
-  const [first] = gatewayBench.assignWaiting(state, buildClocks(10));
+  gatewayFixture.setInFlight(state, 'in-d1', 1);
+  const [first] = gatewayFixture.assignWaiting(state, buildClocks(10));
   assert.equal(first.kind, 'waitOn');
 });
--- a/packages/core/src/gateway/stranded-requests.ts
+++ b/packages/core/src/gateway/unservable-requests.ts
@@ -8,7 +8,7 @@
 import * as schema from '@toucanproxy/schema';
 import * as overloads from '../shared/overload.js';
 import * as allowedDomains from './allowed-domains.js';
-import * as asking from './asking.js';
+import * as pendingAsks from './pending-asks.js';
 import * as backendServers from './backend-servers.js';
 import * as evacuationChanges from './evacuation-changes.js';
 import * as gatewayRequest from './gateway-request.js';
@@ -46,7 +46,7 @@
 }
 
 /** Finds why no backend server may take a request; undefined where one may. */
-export function findStranding(
+export function findUnservableRefusal(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   now: number,
@@ -71,24 +71,27 @@
 }
 
 /** A request that was refused, and what its caller is told. */
-export type StrandedRequest = {
+export type UnservableRequest = {
   request: gatewayRequest.GatewayRequest;
   refusal: refusal.Refusal;
 };
 
 /** Refuses the waiting requests that no backend server may take any more. */
-export function refuseStranded(state: gatewayState.GatewayState, now: number): StrandedRequest[] {
+export function refuseUnservable(
+  state: gatewayState.GatewayState,
+  now: number,
+): UnservableRequest[] {
   if (state.checkedRevision === state.servers.revision) {
     return [];
   }
   state.checkedRevision = state.servers.revision;
   return [...state.requests.values()].flatMap((request) => {
     const isWaiting = request.phase === gatewayRequest.RequestPhase.WAITING;
-    const stranding = isWaiting ? findStranding(state, request, now) : undefined;
+    const stranding = isWaiting ? findUnservableRefusal(state, request, now) : undefined;
     if (stranding === undefined) {
       return [];
     }
-    asking.withdrawAsk(state, request);
+    pendingAsks.withdrawAsk(state, request);
     return [{ request, refusal: requestEnd.refuseWaiting(state, request, stranding) }];
   });
 }
--- a/packages/core/src/mocks/small-fleet-calls.ts
+++ b/packages/core/src/mocks/small-fleet-calls.ts
@@ -27,7 +27,7 @@
     ...fields,
   };
   links.applyToEntry(fleet, entryId, { kind: 'requestArrived', request });
-  links.passMessages(fleet);
+  links.deliverMessages(fleet);
 }
 
 /** Lets the engine of a dispatched attempt answer whole. */
@@ -37,7 +37,7 @@
   links.applyToAgent(fleet, agentId, head);
   links.applyToAgent(fleet, agentId, { kind: 'engineData', refKey, data: new Uint8Array([index]) });
   links.applyToAgent(fleet, agentId, { kind: 'engineEnd', refKey });
-  links.passMessages(fleet);
+  links.deliverMessages(fleet);
 }
 
 /** Builds a UUID of version 7 that was issued at a time. */
@@ -48,7 +48,7 @@
 }
 
 /** Formats what a caller was told: "answer" with its bytes, a failure, or "" while nothing is final. */
-export function formatTold(fleet: state.SmallFleet, callerId: number): string {
+export function formatOutcome(fleet: state.SmallFleet, callerId: number): string {
   const effects = fleet.told.get(callerId) ?? [];
   const failure = effects.find((effect) => effect.kind === 'answerFailure');
   if (failure?.kind === 'answerFailure') {
--- a/packages/core/src/mocks/small-fleet-links.ts
+++ b/packages/core/src/mocks/small-fleet-links.ts
@@ -45,7 +45,7 @@
   switch (effect.kind) {
     case 'openLink': {
       const agentId = effect.backendServerId;
-      if (fleet.agents.has(agentId) && !fleet.silent) {
+      if (fleet.agents.has(agentId) && !fleet.isPartitioned) {
         applyToEntry(fleet, entryId, { kind: 'linkOpened', backendServerId: agentId });
         applyToAgent(fleet, agentId, { kind: 'linkOpened', linkId: findLinkId(fleet, entryId) });
       }
@@ -53,7 +53,7 @@
     }
     case 'closeLink': {
       const linkId = findLinkId(fleet, entryId);
-      if (!fleet.silent) {
+      if (!fleet.isPartitioned) {
         applyToAgent(fleet, effect.backendServerId, { kind: 'linkClosed', linkId });
       }
       return;
@@ -132,12 +132,12 @@
 }
 
 /** Delivers messages until none is left but those held back. */
-export function passMessages(fleet: state.SmallFleet): void {
+export function deliverMessages(fleet: state.SmallFleet): void {
   let message = fleet.queue.shift();
   while (message !== undefined) {
     if (fleet.isHeld(message)) {
       fleet.held.push(message);
-    } else if (!fleet.silent) {
+    } else if (!fleet.isPartitioned) {
       passMessage(fleet, message);
     }
     message = fleet.queue.shift();
@@ -145,7 +145,7 @@
 }
 
 /** Holds back messages to or from an entry whose body is of one kind. */
-export function keepBack(fleet: state.SmallFleet, entryId: string, kind: string): void {
+export function holdMessages(fleet: state.SmallFleet, entryId: string, kind: string): void {
   fleet.isHeld = (message) => message.entryId === entryId && message.body.body.case === kind;
 }
 
@@ -153,16 +153,16 @@
 export function releaseHeld(fleet: state.SmallFleet): void {
   fleet.isHeld = () => false;
   fleet.queue.push(...fleet.held.splice(0));
-  passMessages(fleet);
+  deliverMessages(fleet);
 }
 
 /** Lets time pass in steps with a tick of every process at each. */
-export function passTime(fleet: state.SmallFleet, ms: number, stepMs = 100): void {
+export function advanceTime(fleet: state.SmallFleet, ms: number, stepMs = 100): void {
   const end = fleet.now + ms;
   while (fleet.now < end) {
     fleet.now = Math.min(end, fleet.now + stepMs);
     fleet.entries.forEach((_, id) => applyToEntry(fleet, id, { kind: 'ticked' }));
     fleet.agents.forEach((_, id) => applyToAgent(fleet, id, { kind: 'ticked' }));
-    passMessages(fleet);
+    deliverMessages(fleet);
   }
 }
--- a/packages/core/src/mocks/small-fleet-state.ts
+++ b/packages/core/src/mocks/small-fleet-state.ts
@@ -23,7 +23,7 @@
   held: Message[];
   isHeld: (message: Message) => boolean;
   /** Nothing passes between processes, and no end of a link learns of it. */
-  silent: boolean;
+  isPartitioned: boolean;
   /** Attempts handed to engines, in order. */
   dispatched: { agentId: string; refKey: string }[];
   /** What callers were told, by caller. */
--- a/packages/core/src/mocks/small-fleet.ts
+++ b/packages/core/src/mocks/small-fleet.ts
@@ -35,7 +35,7 @@
     queue: [],
     held: [],
     isHeld: () => false,
-    silent: false,
+    isPartitioned: false,
     dispatched: [],
     told: new Map(),
     dropped: [],
@@ -49,8 +49,8 @@
     startEntry(fleet, entryId);
     links.applyToEntry(fleet, entryId, { kind: 'documentRead', stored });
   });
-  links.passMessages(fleet);
+  links.deliverMessages(fleet);
   // Homes cannot decide on keys from before their life, plus twice the skew.
-  links.passTime(fleet, WARM_UP_MS);
+  links.advanceTime(fleet, WARM_UP_MS);
   return fleet;
 }
--- a/packages/core/src/scheduler/asks.ts
+++ b/packages/core/src/scheduler/asks.ts
@@ -5,7 +5,7 @@
 import * as firstDelay from './first-delay.js';
 import * as rateLimit from './rate-limit.js';
 import type * as scheduledRequest from './scheduled-request.js';
-import * as serverLoad from './server-load.js';
+import * as serverHealth from './server-health.js';
 import * as waitQueue from './wait-queue.js';
 import * as waiting from './waiting.js';
 
@@ -55,7 +55,7 @@
   { serverId, kind, ms }: schema.ServerObservation,
   now: number,
 ): void {
-  const load = cells.getLoad(cell, serverId);
+  const load = cells.getServerHealth(cell, serverId);
   switch (kind) {
     case schema.ServerObservation_Kind.FIRST_EVENT:
       firstDelay.recordExtra(cell.firstDelay, ms, now);
@@ -66,13 +66,13 @@
       break;
     case schema.ServerObservation_Kind.GOOD_ANSWER:
     case schema.ServerObservation_Kind.FAILED_ANSWER:
-      serverLoad.recordAnswer(load, kind === schema.ServerObservation_Kind.GOOD_ANSWER, now);
+      serverHealth.recordAnswer(load, kind === schema.ServerObservation_Kind.GOOD_ANSWER, now);
       break;
     case schema.ServerObservation_Kind.NOT_TAKEN:
-      serverLoad.pauseServer(load, now);
+      serverHealth.pauseServer(load, now);
       break;
     case schema.ServerObservation_Kind.UNREACHABLE:
-      serverLoad.noteUnreachable(load, now);
+      serverHealth.noteUnreachable(load, now);
       break;
     default:
   }
--- a/packages/core/src/scheduler/candidates.ts
+++ b/packages/core/src/scheduler/candidates.ts
@@ -5,7 +5,7 @@
 import * as firstDelay from './first-delay.js';
 import * as rateLimit from './rate-limit.js';
 import type * as serverChoice from './server-choice.js';
-import * as serverLoad from './server-load.js';
+import * as serverHealth from './server-health.js';
 import * as warmUp from './warm-up.js';
 
 /** The backend servers of a cell, as the scheduler's gateway knows them. */
@@ -16,15 +16,15 @@
   /** Part of the places that may be given out. */
   placeShare: number;
   /** Part of the gateways that are heard, this one included; 0 where that is unknown. */
-  heardShare: number;
+  reachableShare: number;
   /** There are other gateways, which may have something in flight. */
   hasPeers: boolean;
   /** Undefined where backend servers bear their full load from the start on. */
   warmUp: warmUp.WarmUpLimit | undefined;
   /** Until when each backend server warms up, by id, milliseconds. */
-  warmUntilMs: ReadonlyMap<string, number>;
+  warmUpEndMs: ReadonlyMap<string, number>;
   /** Entries that other gateways may not have read yet, by id. */
-  news: ReadonlyMap<string, backendServerEntry.BackendServerEntry>;
+  recentEntries: ReadonlyMap<string, backendServerEntry.BackendServerEntry>;
 };
 
 /**
@@ -46,12 +46,12 @@
  */
 function isWarming(
   cell: cells.Cell,
-  { warmUp: limit, warmUntilMs }: CellServers,
+  { warmUp: limit, warmUpEndMs: warmUntilMs }: CellServers,
   serverId: string,
   now: number,
 ): boolean {
-  const { unreachableMs } = cells.getLoad(cell, serverId);
-  const suspectedMs = serverLoad.LONGEST_PAUSE_MS + (limit?.durationMs ?? 0);
+  const { unreachableMs } = cells.getServerHealth(cell, serverId);
+  const suspectedMs = serverHealth.LONGEST_PAUSE_MS + (limit?.durationMs ?? 0);
   const suspectedUntilMs = unreachableMs + suspectedMs;
   return now < Math.max(warmUntilMs.get(serverId) ?? -Infinity, suspectedUntilMs);
 }
@@ -63,7 +63,7 @@
   serverId: string,
   now: number,
 ): number {
-  const { heardShare } = servers;
+  const { reachableShare: heardShare } = servers;
   const view = { isWarming: isWarming(cell, servers, serverId, now), heardShare };
   const starts = cell.starts.get(serverId) ?? [];
   return Math.min(
@@ -98,14 +98,14 @@
 ): serverChoice.Candidate[] {
   const usable = servers.entries.map((entry) => ({
     entry,
-    load: cells.getLoad(cell, entry.id),
+    load: cells.getServerHealth(cell, entry.id),
     inFlight: taken.get(entry.id) ?? 0,
   }));
   const usualMs = firstDelay.estimateExtraMs(cell.firstDelay, now);
   const fastest = enginePace.findFastest(usable.map(({ load }) => load.pace));
-  const reachable = usable.filter(({ load }) => !serverLoad.isPaused(load, now));
+  const reachable = usable.filter(({ load }) => !serverHealth.isPaused(load, now));
   const sound = reachable.filter(
-    ({ load, inFlight }) => !serverLoad.isEjected(load, inFlight, now),
+    ({ load, inFlight }) => !serverHealth.isEjected(load, inFlight, now),
   );
   const isCapped = sound.length < MIN_SOUND_SHARE * usable.length;
   return (isCapped ? reachable : sound).map(({ entry, load, inFlight }) => {
@@ -120,7 +120,7 @@
       slowness,
       unitMs: fastest * slowness,
       firstExtraMs: firstDelay.estimateExtraMs(load.firstDelay, now, usualMs),
-      failureShare: serverLoad.computeFailureShare(load),
+      failureShare: serverHealth.computeFailureShare(load),
     };
   });
 }
--- a/packages/core/src/scheduler/cell-split.ts
+++ b/packages/core/src/scheduler/cell-split.ts
@@ -51,7 +51,7 @@
 }
 
 /** Brings an order in line with gateways that have come, and others that have gone. */
-export function updateSchedulers(
+export function updateSchedulerOrder(
   cellName: string,
   order: SchedulerOrder,
   added: readonly string[],
--- a/packages/core/src/scheduler/cell.ts
+++ b/packages/core/src/scheduler/cell.ts
@@ -1,11 +1,11 @@
 /** The state of one cell: what waits for its backend servers, and what they have. */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
-import * as drainRate from '../shared/drain-rate.js';
+import * as queueThroughput from '../shared/queue-throughput.js';
 import * as firstDelay from './first-delay.js';
 import * as overload from '../shared/overload.js';
 import type * as rateLimit from './rate-limit.js';
 import type * as scheduledRequest from './scheduled-request.js';
-import * as serverLoad from './server-load.js';
+import * as serverHealth from './server-health.js';
 import * as waitQueue from './wait-queue.js';
 
 /** A place that was granted and that its gateway has not told of yet. */
@@ -55,7 +55,7 @@
   createdMs: number;
   /** When an ask for it last came, milliseconds. */
   askedMs: number;
-  loads: Map<string, serverLoad.ServerLoad>;
+  loads: Map<string, serverHealth.ServerHealth>;
   /** When requests were given to a backend server lately, by its id, milliseconds. */
   starts: Map<string, number[]>;
   /** Limits that backend servers have named, by id. */
@@ -65,8 +65,8 @@
   requests: Map<number, scheduledRequest.ScheduledRequest>;
   nextId: number;
   /** How fast all requests go, and those of each rank of the queue. */
-  drain: drainRate.DrainRate;
-  drainByRank: Map<number, drainRate.DrainRate>;
+  drain: queueThroughput.QueueThroughput;
+  drainByRank: Map<number, queueThroughput.QueueThroughput>;
   overload: overload.Overload;
   /** Seen at all its backend servers. */
   firstDelay: firstDelay.FirstDelay;
@@ -85,7 +85,7 @@
     queue: waitQueue.createWaitQueue(),
     requests: new Map(),
     nextId: 1,
-    drain: drainRate.createDrainRate(),
+    drain: queueThroughput.createQueueThroughput(),
     drainByRank: new Map(),
     overload: overload.createOverload(),
     firstDelay: firstDelay.createFirstDelay(),
@@ -93,8 +93,8 @@
 }
 
 /** Gets what is known of a backend server, made where there is nothing. */
-export function getLoad(cell: Cell, serverId: string): serverLoad.ServerLoad {
-  const load = cell.loads.get(serverId) ?? serverLoad.createServerLoad();
+export function getServerHealth(cell: Cell, serverId: string): serverHealth.ServerHealth {
+  const load = cell.loads.get(serverId) ?? serverHealth.createServerLoad();
   cell.loads.set(serverId, load);
   return load;
 }
--- a/packages/core/src/scheduler/first-delay.test.ts
+++ b/packages/core/src/scheduler/first-delay.test.ts
@@ -1,15 +1,15 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import type * as assignment from '../gateway/assignment.js';
-import * as belief from '../gateway/belief.js';
+import * as configurationLease from '../gateway/configuration-lease.js';
 import * as firstDelay from './first-delay.js';
-import * as intake from '../gateway/intake.js';
+import * as requestAdmission from '../gateway/request-admission.js';
 import * as observations from '../gateway/observations.js';
-import * as gatewayBench from '../gateway/mocks/gateway-bench.js';
+import * as gatewayFixture from '../gateway/mocks/gateway-fixture.js';
 import * as requestEnd from '../gateway/request-end.js';
 
 const { test } = nodeTest;
-const { buildArrived, buildClocks, buildRoute, createBench } = gatewayBench;
+const { buildArrived, buildClocks, buildRoute, createTestGateway: createBench } = gatewayFixture;
 /** Beyond the time at an idle engine, milliseconds. */
 const EXTRA_MS = 170;
 const RUN_MS = 400;
@@ -28,7 +28,7 @@
   const running = new Set<Running>();
   const count = { served: 0, inTime: 0 };
   for (let now = 0; now < 10_000; now += 5) {
-    belief.noteConfirmed(state.belief, buildClocks(now));
+    configurationLease.noteConfirmed(state.lease, buildClocks(now));
     running.forEach((one) => {
       const firstMs = one.request.idleFirstMs + EXTRA_MS;
       if (!one.told && now >= one.sentMs + firstMs) {
@@ -44,9 +44,9 @@
       }
     });
     if (now % ARRIVAL_MS === 0) {
-      intake.admitRequest(state, buildArrived(String(now)), buildClocks(now));
+      requestAdmission.admitRequest(state, buildArrived(String(now)), buildClocks(now));
     }
-    gatewayBench
+    gatewayFixture
       .assignWaiting(state, buildClocks(now))
       .filter((one) => one.kind === 'send')
       .forEach(({ request }) => {
@@ -70,15 +70,15 @@
   // A place opens. The first in line has 100 ms left and the engine needs 200 ms:
   // sent there it comes late, and so would the one behind it.
   const state = createBench(['a']);
-  gatewayBench.setInFlight(state, 'a', 2);
-  intake.admitRequest(state, buildArrived('first'), buildClocks(0));
-  gatewayBench.assignWaiting(state, buildClocks(0));
-  intake.admitRequest(state, buildArrived('second'), buildClocks(500));
-  gatewayBench.assignWaiting(state, buildClocks(500));
-  gatewayBench.setInFlight(state, 'a', 1);
-  const { firstDelay: seen } = gatewayBench.getCell(state);
+  gatewayFixture.setInFlight(state, 'a', 2);
+  requestAdmission.admitRequest(state, buildArrived('first'), buildClocks(0));
+  gatewayFixture.assignWaiting(state, buildClocks(0));
+  requestAdmission.admitRequest(state, buildArrived('second'), buildClocks(500));
+  gatewayFixture.assignWaiting(state, buildClocks(500));
+  gatewayFixture.setInFlight(state, 'a', 1);
+  const { firstDelay: seen } = gatewayFixture.getCell(state);
   firstDelay.recordExtra(seen, 200, 690);
-  const [sent] = gatewayBench.assignWaiting(state, buildClocks(690));
+  const [sent] = gatewayFixture.assignWaiting(state, buildClocks(690));
   assert.equal(sent.request.arrived.attemptId, 'second');
 });
 
@@ -92,10 +92,10 @@
 
 test('an idle engine is expected to begin at once', () => {
   const state = createBench(['a']);
-  intake.admitRequest(state, buildArrived('one'), buildClocks(0));
-  const [sent] = gatewayBench.assignWaiting(state, buildClocks(1));
+  requestAdmission.admitRequest(state, buildArrived('one'), buildClocks(0));
+  const [sent] = gatewayFixture.assignWaiting(state, buildClocks(1));
   observations.noteFirstEvent(state, sent.request, sent.request.idleFirstMs, 100);
-  gatewayBench.assignWaiting(state, buildClocks(400));
-  const { firstDelay: seen } = gatewayBench.getCell(state);
+  gatewayFixture.assignWaiting(state, buildClocks(400));
+  const { firstDelay: seen } = gatewayFixture.getCell(state);
   assert.equal(firstDelay.estimateExtraMs(seen, 100), 0);
 });
--- a/packages/core/src/scheduler/mocks/scheduler-bench.ts
+++ b/packages/core/src/scheduler/mocks/scheduler-bench.ts
@@ -11,11 +11,11 @@
     entries,
     tokensPerEvent: 1,
     placeShare: 1,
-    heardShare: 1,
+    reachableShare: 1,
     hasPeers: false,
     warmUp: undefined,
-    warmUntilMs: new Map(),
-    news: new Map(),
+    warmUpEndMs: new Map(),
+    recentEntries: new Map(),
     ...changes,
   };
 }
--- a/packages/core/src/scheduler/scheduler.test.ts
+++ b/packages/core/src/scheduler/scheduler.test.ts
@@ -1,7 +1,7 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as schema from '@toucanproxy/schema';
-import * as gatewayBench from '../gateway/mocks/gateway-bench.js';
+import * as gatewayFixture from '../gateway/mocks/gateway-fixture.js';
 import * as schedulerBench from './mocks/scheduler-bench.js';
 import * as replies from './replies.js';
 import * as scheduler from './scheduler.js';
@@ -13,8 +13,8 @@
   // An entry tells a part of a millisecond, and the store has counted far. A number that the
   // message cannot hold would end the process of the scheduler when it grants a place there.
   const odd = { slots: 10_000, warmUpLeftMs: 12.5, revision: { epoch: 2 ** 41, count: 2 ** 40 } };
-  const entry = gatewayBench.buildEntry('a', odd);
-  const servers = schedulerBench.buildServers([entry], { news: new Map([['a', entry]]) });
+  const entry = gatewayFixture.buildEntry('a', odd);
+  const servers = schedulerBench.buildServers([entry], { recentEntries: new Map([['a', entry]]) });
   const own = scheduler.createScheduler('10.0.0.1:1', 'life', () => 0.5);
   const request = { serial: 1, targetLeftMs: 500, leaveLeftMs: 2000, giveUpLeftMs: 9000 };
   const ask = schema.create(schema.ScheduleAskSchema, {
--- a/packages/core/src/scheduler/scheduler.ts
+++ b/packages/core/src/scheduler/scheduler.ts
@@ -13,7 +13,7 @@
 import * as warmUp from './warm-up.js';
 
 /** A decision, for the log. */
-export type SchedulingNote = {
+export type SchedulingDecision = {
   kind: 'granted' | 'declined';
   cell: string;
   request: scheduledRequest.ScheduledRequest;
@@ -71,7 +71,7 @@
 }
 
 /** Tells whether requests wait for a place in a cell of this scheduler. */
-export function isWorkWaiting({ cells: all }: Scheduler): boolean {
+export function hasQueuedRequests({ cells: all }: Scheduler): boolean {
   return [...all.values()].some(({ queue }) => queue.items.length > 0);
 }
 
@@ -90,7 +90,7 @@
   scheduler: Scheduler,
   cell: cells.Cell,
   { request, chosen }: requestMatch.Match,
-  { news, heardShare }: candidates.CellServers,
+  { recentEntries: news, reachableShare: heardShare }: candidates.CellServers,
   now: number,
 ): void {
   const limit = cell.rateLimits.get(chosen.id);
@@ -130,7 +130,7 @@
 }
 
 /** Refuses the requests that would wait in vain. */
-function refuseSpent(scheduler: Scheduler, cell: cells.Cell, now: number): SchedulingNote[] {
+function refuseSpent(scheduler: Scheduler, cell: cells.Cell, now: number): SchedulingDecision[] {
   return waiting.updateLate(cell, now).map((request) => {
     const asker = cell.askers.get(request.asker);
     cell.requests.delete(request.id);
@@ -149,7 +149,7 @@
   cell: cells.Cell,
   servers: candidates.CellServers,
   now: number,
-): SchedulingNote[] {
+): SchedulingDecision[] {
   if (cell.queue.items.length === 0) {
     return [];
   }
@@ -159,7 +159,7 @@
   const isBounded = servers.warmUp !== undefined;
   const { drawRandom } = scheduler;
   const search = { cell, candidates: all, tokensPerEvent, drawRandom, now };
-  const notes: SchedulingNote[] = [];
+  const notes: SchedulingDecision[] = [];
   let { taken } = count;
   let match = taken < count.usable ? requestMatch.findNextMatch(search) : undefined;
   while (match !== undefined) {
@@ -205,7 +205,7 @@
   scheduler: Scheduler,
   findServers: (cellName: string) => candidates.CellServers,
   now: number,
-): SchedulingNote[] {
+): SchedulingDecision[] {
   return [...scheduler.cells.values()].flatMap((cell) => {
     if (now - cell.askedMs > IDLE_CELL_MS) {
       scheduler.cells.delete(cell.name);
--- a/packages/core/src/scheduler/server-load.test.ts
+++ b/packages/core/src/scheduler/server-health.test.ts
@@ -2,21 +2,21 @@
 import * as nodeTest from 'node:test';
 import * as candidates from './candidates.js';
 import * as cells from './cell.js';
-import * as gatewayBench from '../gateway/mocks/gateway-bench.js';
+import * as gatewayFixture from '../gateway/mocks/gateway-fixture.js';
 import * as schedulerBench from './mocks/scheduler-bench.js';
-import * as serverLoad from './server-load.js';
+import * as serverHealth from './server-health.js';
 
 const { test } = nodeTest;
 
 /** Lets a backend server fail a few requests in a row. */
 function failOften(cell: cells.Cell, id: string, now: number): void {
-  const load = cells.getLoad(cell, id);
-  [1, 2, 3, 4].forEach(() => serverLoad.recordAnswer(load, false, now));
+  const load = cells.getServerHealth(cell, id);
+  [1, 2, 3, 4].forEach(() => serverHealth.recordAnswer(load, false, now));
 }
 
 /** Lists the backend servers that may get work. */
 function listIds(cell: cells.Cell, ids: string[], now: number, atFirst = 0): string[] {
-  const entries = ids.map((id) => gatewayBench.buildEntry(id));
+  const entries = ids.map((id) => gatewayFixture.buildEntry(id));
   const taken = new Map([[ids[0], atFirst]]);
   return candidates
     .listCandidates(cell, schedulerBench.buildServers(entries), taken, now)
@@ -31,13 +31,13 @@
   const cell = cells.createCell('one/0', 0);
   failOften(cell, 'a', 0);
   assert.deepEqual(listIds(cell, ids, 10), ['bb', 'ccc']);
-  const load = cells.getLoad(cell, 'a');
+  const load = cells.getServerHealth(cell, 'a');
   assert.deepEqual(listIds(cell, ids, 600), ['a', 'bb', 'ccc']);
   assert.deepEqual(listIds(cell, ids, 600, 1), ['bb', 'ccc']);
-  serverLoad.recordAnswer(load, false, 700);
+  serverHealth.recordAnswer(load, false, 700);
   assert.deepEqual(listIds(cell, ids, 1600), ['bb', 'ccc']);
   assert.deepEqual(listIds(cell, ids, 1800), ['a', 'bb', 'ccc']);
-  serverLoad.recordAnswer(load, true, 1900);
+  serverHealth.recordAnswer(load, true, 1900);
   assert.deepEqual(listIds(cell, ids, 1900, 1), ['a', 'bb', 'ccc']);
 });
 
@@ -53,7 +53,7 @@
 test('one failure among good answers ejects nothing', () => {
   const ids = ['a', 'bb'];
   const cell = cells.createCell('one/0', 0);
-  const load = cells.getLoad(cell, 'a');
-  [true, false, true, true].forEach((good) => serverLoad.recordAnswer(load, good, 0));
+  const load = cells.getServerHealth(cell, 'a');
+  [true, false, true, true].forEach((good) => serverHealth.recordAnswer(load, good, 0));
   assert.deepEqual(listIds(cell, ids, 10), ['a', 'bb']);
 });
--- a/packages/core/src/scheduler/server-load.ts
+++ b/packages/core/src/scheduler/server-health.ts
@@ -2,7 +2,7 @@
 import * as enginePace from './engine-pace.js';
 import * as firstDelay from './first-delay.js';
 
-export type ServerLoad = {
+export type ServerHealth = {
   pace: enginePace.Pace;
   firstDelay: firstDelay.FirstDelay;
   failuresInRow: number;
@@ -40,7 +40,7 @@
 const LONGEST_EJECTION_MS = 4000;
 
 /** Creates the load of a backend server that was not used yet. */
-export function createServerLoad(): ServerLoad {
+export function createServerLoad(): ServerHealth {
   return {
     pace: enginePace.createPace(),
     firstDelay: firstDelay.createFirstDelay(),
@@ -55,7 +55,7 @@
 }
 
 /** Takes in an answer that was the backend server's own. */
-export function recordAnswer(load: ServerLoad, good: boolean, now: number): void {
+export function recordAnswer(load: ServerHealth, good: boolean, now: number): void {
   load.answers = KEPT_SHARE * load.answers + 1;
   load.failures = KEPT_SHARE * load.failures + (good ? 0 : 1);
   if (good) {
@@ -79,12 +79,12 @@
  *
  * @param inFlight requests there
  */
-export function isEjected(load: ServerLoad, inFlight: number, now: number): boolean {
+export function isEjected(load: ServerHealth, inFlight: number, now: number): boolean {
   return now < load.ejectedUntilMs || (load.ejections > 0 && inFlight > 0);
 }
 
 /** Computes the recent share of answers that failed, 0 to 1. */
-export function computeFailureShare(load: ServerLoad): number {
+export function computeFailureShare(load: ServerHealth): number {
   return load.answers === 0 ? 0 : load.failures / load.answers;
 }
 
@@ -94,7 +94,7 @@
  * Without the pause each waiting request would be sent to it in turn, since an
  * empty backend server looks like the best choice.
  */
-export function pauseServer(load: ServerLoad, now: number): void {
+export function pauseServer(load: ServerHealth, now: number): void {
   const pauseMs = Math.min(FIRST_PAUSE_MS * 2 ** load.failuresInRow, LONGEST_PAUSE_MS);
   load.failuresInRow += 1;
   load.pausedUntilMs = Math.max(load.pausedUntilMs, now + pauseMs);
@@ -104,12 +104,12 @@
  * Notes that a backend server could not be reached. It may have crashed, and warm up
  * once it is back, which its entry tells seconds later.
  */
-export function noteUnreachable(load: ServerLoad, now: number): void {
+export function noteUnreachable(load: ServerHealth, now: number): void {
   load.unreachableMs = now;
   pauseServer(load, now);
 }
 
 /** Tells whether a backend server is left out for now. */
-export function isPaused(load: ServerLoad, now: number): boolean {
+export function isPaused(load: ServerHealth, now: number): boolean {
   return now < load.pausedUntilMs;
 }
--- a/packages/core/src/scheduler/waiting.ts
+++ b/packages/core/src/scheduler/waiting.ts
@@ -7,7 +7,7 @@
  * of arrival, all requests would be served just after their time; told apart by
  * the expected wait, those that can be on time are.
  */
-import * as drainRate from '../shared/drain-rate.js';
+import * as queueThroughput from '../shared/queue-throughput.js';
 import * as overloads from '../shared/overload.js';
 import type * as cells from './cell.js';
 import * as firstDelay from './first-delay.js';
@@ -66,8 +66,8 @@
 }
 
 /** Gets how fast the requests of a rank go. */
-function getDrain(cell: cells.Cell, rank: number): drainRate.DrainRate {
-  const drain = cell.drainByRank.get(rank) ?? drainRate.createDrainRate();
+function getDrain(cell: cells.Cell, rank: number): queueThroughput.QueueThroughput {
+  const drain = cell.drainByRank.get(rank) ?? queueThroughput.createQueueThroughput();
   cell.drainByRank.set(rank, drain);
   return drain;
 }
@@ -95,7 +95,7 @@
     return Infinity;
   }
   return [...waitQueue.countTokensBefore(cell.queue, rank, workspace)].reduce(
-    (sum, [other, tokens]) => sum + drainRate.estimateWaitMs(getDrain(cell, other), tokens),
+    (sum, [other, tokens]) => sum + queueThroughput.estimateWaitMs(getDrain(cell, other), tokens),
     0,
   );
 }
@@ -155,8 +155,8 @@
   const item = waitQueue.takeItem(cell.queue, request.id);
   if (item !== undefined) {
     const { rank, workTokens, enteredMs } = item;
-    drainRate.noteStart(getDrain(cell, rank), workTokens, enteredMs, now);
-    drainRate.noteStart(cell.drain, workTokens, request.arrivedMs, now);
+    queueThroughput.noteStart(getDrain(cell, rank), workTokens, enteredMs, now);
+    queueThroughput.noteStart(cell.drain, workTokens, request.arrivedMs, now);
   }
 }
 
@@ -195,7 +195,7 @@
 /** Draws when a caller that is turned away now should come back, milliseconds. */
 export function drawRetryAfter(cell: cells.Cell, drawRandom: () => number, now: number): number {
   const tokens = cell.queue.items.reduce((sum, item) => sum + item.workTokens, 0);
-  const drainMs = drainRate.estimateWaitMs(cell.drain, tokens);
+  const drainMs = queueThroughput.estimateWaitMs(cell.drain, tokens);
   overloads.noteRefusal(cell.overload, now);
   return overloads.drawRetryAfter(cell.overload, drainMs, drawRandom, now);
 }
--- a/packages/core/src/scheduler/warm-up.test.ts
+++ b/packages/core/src/scheduler/warm-up.test.ts
@@ -3,7 +3,7 @@
 import * as warmUp from './warm-up.js';
 
 const { test } = nodeTest;
-const LIMIT = { perSecond: 9, mostInSecond: 18, durationMs: 3000 };
+const LIMIT = { perSecond: 9, maxInOneSecond: 18, durationMs: 3000 };
 const WARM = { isWarming: false, heardShare: 1 };
 const WARMING = { isWarming: true, heardShare: 1 };
 const SECOND_MS = 1000;
@@ -35,13 +35,13 @@
   const starts = startAll(LIMIT, WARMING, 3000);
   const gaps = starts.slice(1).map((one, index) => one - starts[index]);
   assert.ok(Math.min(...gaps) >= 100, String(Math.min(...gaps)));
-  assert.ok(countMost(starts) <= LIMIT.mostInSecond / 2, String(countMost(starts)));
+  assert.ok(countMost(starts) <= LIMIT.maxInOneSecond / 2, String(countMost(starts)));
   assert.ok(starts.length >= 15, String(starts.length));
 });
 
 test('two schedulers keep the bound', () => {
   const one = startAll(LIMIT, WARMING, 3000);
-  assert.ok(countMost([...one, ...one]) <= LIMIT.mostInSecond);
+  assert.ok(countMost([...one, ...one]) <= LIMIT.maxInOneSecond);
 });
 
 test('schedulers that hear only a part', () => {
@@ -49,7 +49,7 @@
   // scheduler of its own, and all of them reach the backend server.
   const one = startAll(LIMIT, { isWarming: true, heardShare: 0.2 }, 3000);
   assert.ok(one.length > 0);
-  assert.ok(countMost([...one, ...one, ...one, ...one, ...one]) <= LIMIT.mostInSecond);
+  assert.ok(countMost([...one, ...one, ...one, ...one, ...one]) <= LIMIT.maxInOneSecond);
 });
 
 test('scheduler that hears nobody', () => {
@@ -59,16 +59,16 @@
 test('a scheduler that takes over goes on at the rate', () => {
   const before = startAll(LIMIT, WARMING, 1000);
   const after = startAll(LIMIT, WARMING, 1800).map((one) => one + 1000);
-  assert.ok(countMost([...before, ...after]) <= LIMIT.mostInSecond);
+  assert.ok(countMost([...before, ...after]) <= LIMIT.maxInOneSecond);
 });
 
 test('first second of one that is taken as warm', () => {
   // A backend server has crashed and is back, and nobody has heard of it. It takes what
   // comes: within the first second it gets no more than it bears.
   const first = startAll(LIMIT, WARM, 1400);
-  assert.ok(first.length <= LIMIT.mostInSecond, String(first.length));
+  assert.ok(first.length <= LIMIT.maxInOneSecond, String(first.length));
   const next = startAll(LIMIT, WARMING, 2800, first).filter((one) => one > 500);
-  assert.ok(countMost(next) <= LIMIT.mostInSecond, String(countMost(next)));
+  assert.ok(countMost(next) <= LIMIT.maxInOneSecond, String(countMost(next)));
 });
 
 test('one that is taken as warm no more than doubles', () => {
@@ -86,7 +86,7 @@
   // A gateway stands still and uses its grants up to 0.4 s late, so that grants of 1.4 s
   // reach the backend server within one second.
   const late = startAll(LIMIT, WARM, 1400).map((one) => Math.max(one, 400));
-  assert.ok(countMost(late) <= LIMIT.mostInSecond, String(countMost(late)));
+  assert.ok(countMost(late) <= LIMIT.maxInOneSecond, String(countMost(late)));
 });
 
 test('service that needs no warm-up', () => {
--- a/packages/core/src/scheduler/warm-up.ts
+++ b/packages/core/src/scheduler/warm-up.ts
@@ -24,7 +24,7 @@
   /** Requests a second. */
   perSecond: number;
   /** Requests in any one second above which it may crash. */
-  mostInSecond: number;
+  maxInOneSecond: number;
   /** How long it warms up, milliseconds. */
   durationMs: number;
 };
@@ -52,13 +52,19 @@
 const GROWTH = 2;
 
 /** Computes how many requests may be started within the window while it warms up. */
-function computeMostWarming({ mostInSecond }: WarmUpLimit, heardShare: number): number {
-  return Math.floor(mostInSecond * Math.min(1 / SCHEDULERS, heardShare));
+function computeMostWarming(
+  { maxInOneSecond }: WarmUpLimit,
+  heardShare: number,
+): number {
+  return Math.floor(maxInOneSecond * Math.min(1 / SCHEDULERS, heardShare));
 }
 
 /** Computes the same for one that is taken as warm. */
-function computeMostWarm({ mostInSecond }: WarmUpLimit, startsBefore: number): number {
-  return Math.max(Math.floor(mostInSecond), GROWTH * startsBefore);
+function computeMostWarm(
+  { maxInOneSecond }: WarmUpLimit,
+  startsBefore: number,
+): number {
+  return Math.max(Math.floor(maxInOneSecond), GROWTH * startsBefore);
 }
 
 /** Leaves out starts that count no more. */
--- a/packages/core/src/shared/document-store.test.ts
+++ b/packages/core/src/shared/document-store.test.ts
@@ -25,7 +25,7 @@
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const stored = smallFleet.buildDocument(AGENTS, { version: 2 });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.deepEqual(listVersions(fleet), [2, 2, 2, 2, 2]);
   assert.deepEqual(fleet.fetched.toSorted(), ['a', 'b', 'c', 'e2']);
 });
@@ -37,15 +37,15 @@
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
   const stored = smallFleet.buildDocument(AGENTS, { version: 2, credentials: [] });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   smallFleet.startEntry(fleet, 'e2');
   smallFleet.applyToEntry(fleet, 'e2', {
     kind: 'documentRead',
     stored: smallFleet.buildDocument(AGENTS),
   });
   smallFleet.sendCall(fleet, 'e2', 1, { key: '' });
-  smallFleet.passTime(fleet, WHILE_MS);
-  assert.equal(smallFleet.formatTold(fleet, 1), 'UNAUTHENTICATED NOT_RUN');
+  smallFleet.advanceTime(fleet, WHILE_MS);
+  assert.equal(smallFleet.formatOutcome(fleet, 1), 'UNAUTHENTICATED NOT_RUN');
   assert.equal(fleet.dispatched.length, 0);
 });
 
@@ -58,21 +58,21 @@
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored: one });
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'documentRead', stored: two });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored: two });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   const hashes = ['e1', 'e2'].map(
     (id) => getEntry(fleet, id).documents.get(smallFleet.SERVICE)?.contentHash,
   );
   assert.notEqual(hashes[0], hashes[1]);
   const conflicts = fleet.logged.filter((event) => event === 'document-conflict');
   assert.ok(conflicts.length >= 2);
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.equal(
     fleet.logged.filter((event) => event === 'document-conflict').length,
     conflicts.length,
   );
   const next = smallFleet.buildDocument(AGENTS, { version: 3 });
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'documentRead', stored: next });
-  smallFleet.passTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, WHILE_MS);
   assert.deepEqual(listVersions(fleet), [3, 3, 3, 3, 3]);
 });
 
--- a/packages/core/src/shared/document-store.ts
+++ b/packages/core/src/shared/document-store.ts
@@ -43,7 +43,7 @@
 }
 
 /** A version that a peer has shown and that this process does not have yet. */
-export type NewerVersion = { version: number; sinceMs: number; askedMs: number };
+export type NewerVersion = { version: number; firstSeenMs: number; askedMs: number };
 
 /** By service. */
 export type NewerVersions = Map<string, NewerVersion>;
@@ -53,10 +53,10 @@
  * milliseconds. Asking all who show the version would fetch it as often as this
  * process has links.
  */
-export const DOCUMENT_ANSWER_MS = 1000;
+export const DOCUMENT_REPLY_TIMEOUT_MS = 1000;
 
 /** Notes a newer version that a peer shows; true where that peer is to be asked for it. */
-export function noteNewer(
+export function noteNewerVersion(
   newer: NewerVersions,
   service: string,
   version: number,
@@ -64,10 +64,10 @@
 ): boolean {
   const known = newer.get(service);
   if (known === undefined || known.version < version) {
-    newer.set(service, { version, sinceMs: now, askedMs: now });
+    newer.set(service, { version, firstSeenMs: now, askedMs: now });
     return true;
   }
-  const due = now - known.askedMs > DOCUMENT_ANSWER_MS;
+  const due = now - known.askedMs > DOCUMENT_REPLY_TIMEOUT_MS;
   known.askedMs = due ? now : known.askedMs;
   return due;
 }
@@ -128,7 +128,10 @@
 }
 
 /** Notes the version of a document that was handed over and not taken. */
-export function noteRefused(store: DocumentStore, candidate: StoredDocument): effect.LogEffect[] {
+export function noteRefusedDocument(
+  store: DocumentStore,
+  candidate: StoredDocument,
+): effect.LogEffect[] {
   const { service, version } = candidate.document;
   const contentHash = hashContent(candidate.document);
   const seen = schema.create(schema.DocumentVersionSchema, { service, version, contentHash });
--- a/packages/core/src/shared/key-homes.test.ts
+++ b/packages/core/src/shared/key-homes.test.ts
@@ -75,7 +75,7 @@
 });
 
 nodeTest.test('issue time of a key', () => {
-  assert.equal(keyTime.readKeyTime('0192f3a0-0000-7abc-9def-000000000001'), 0x0192f3a00000);
-  assert.equal(keyTime.readKeyTime('0192f3a0-0000-4abc-9def-000000000001'), 0);
-  assert.equal(keyTime.readKeyTime('order-17'), 0);
+  assert.equal(keyTime.parseKeyIssueTime('0192f3a0-0000-7abc-9def-000000000001'), 0x0192f3a00000);
+  assert.equal(keyTime.parseKeyIssueTime('0192f3a0-0000-4abc-9def-000000000001'), 0);
+  assert.equal(keyTime.parseKeyIssueTime('order-17'), 0);
 });
--- a/packages/core/src/shared/key-retention.ts
+++ b/packages/core/src/shared/key-retention.ts
@@ -21,7 +21,7 @@
  * never had it: its records are kept for the key window and twice the skew, so
  * within the window after the issue time none has been forgotten.
  */
-export function isRemembered(
+export function isRecordRetained(
   timing: documentTiming.Timing,
   issuedMs: number,
   now: number,
--- a/packages/core/src/shared/key-time.ts
+++ b/packages/core/src/shared/key-time.ts
@@ -7,7 +7,7 @@
  * Reads when a key was issued, milliseconds since the Unix epoch; 0 where the
  * key does not say. Only a UUID of version 7 (RFC 9562) does.
  */
-export function readKeyTime(key: string): number {
+export function parseKeyIssueTime(key: string): number {
   const match = UUID_V7.exec(key);
   return match === null ? 0 : Number.parseInt(`${match[1]}${match[2]}`, HEXADECIMAL);
 }
--- a/packages/core/src/shared/drain-rate.ts
+++ b/packages/core/src/shared/queue-throughput.ts
@@ -5,7 +5,7 @@
  * say nothing of how fast a queue would drain.
  */
 
-export type DrainRate = {
+export type QueueThroughput = {
   /** Starts so far. */
   starts: number;
   /** Recent starts, their tokens and the time they took; older ones fade. */
@@ -28,12 +28,17 @@
 const MIN_STARTS = 5;
 
 /** Creates a rate with nothing measured. */
-export function createDrainRate(): DrainRate {
+export function createQueueThroughput(): QueueThroughput {
   return { starts: 0, requests: 0, tokens: 0, busyMs: 0, lastStartMs: 0 };
 }
 
 /** Notes that a backend server started a request that had waited since `arrivedMs`. */
-export function noteStart(rate: DrainRate, tokens: number, arrivedMs: number, now: number): void {
+export function noteStart(
+  rate: QueueThroughput,
+  tokens: number,
+  arrivedMs: number,
+  now: number,
+): void {
   rate.starts += 1;
   rate.requests = KEPT_SHARE * rate.requests + 1;
   rate.tokens = KEPT_SHARE * rate.tokens + tokens;
@@ -42,13 +47,13 @@
 }
 
 /** Estimates the wait behind some tokens, milliseconds; 0 where too little is known. */
-export function estimateWaitMs(rate: DrainRate, tokensAhead: number): number {
+export function estimateWaitMs(rate: QueueThroughput, tokensAhead: number): number {
   return rate.starts < MIN_STARTS ? 0 : (tokensAhead / rate.tokens) * rate.busyMs;
 }
 
 /** Advises when to come back, milliseconds, from the requests that wait ahead. */
 export function drawRetryAfter(
-  rate: DrainRate,
+  rate: QueueThroughput,
   requestsAhead: number,
   drawRandom: () => number,
 ): number {
--- a/packages/core/src/shared/retry-budget.ts
+++ b/packages/core/src/shared/retry-budget.ts
@@ -38,7 +38,7 @@
  *
  * @param floor repeats that a quiet service may always make
  */
-export function takeRepeat(
+export function takeRetry(
   budget: RetryBudget,
   percent: number,
   now: number,
--- a/packages/core/src/shared/start-queue.ts
+++ b/packages/core/src/shared/start-queue.ts
@@ -227,7 +227,7 @@
 }
 
 /** Finds the newest item of the least urgent tier, where that is below `tierRank`. */
-export function findLessUrgent(queue: StartQueue, tierRank: number): QueuedItem | undefined {
+export function findEvictionCandidate(queue: StartQueue, tierRank: number): QueuedItem | undefined {
   const tier = queue.tiers.at(-1);
   if (tier === undefined || tier.tierRank <= tierRank) {
     return undefined;
--- a/packages/core/src/shared/store-revision.ts
+++ b/packages/core/src/shared/store-revision.ts
@@ -13,7 +13,7 @@
 };
 
 /** Earlier than all that a store tells. */
-export const BEFORE_ALL: StoreRevision = { epoch: -1, count: -1 };
+export const EARLIEST_REVISION: StoreRevision = { epoch: -1, count: -1 };
 
 /** Compares two revisions, for sorting: the later one is greater. */
 export function compareRevisions(a: StoreRevision, b: StoreRevision): number {
--- a/packages/entry/src/agent-link-task.ts
+++ b/packages/entry/src/agent-link-task.ts
@@ -24,7 +24,7 @@
       const client: runtime.LinkClient = runtime.openLinkClient({
         address,
         receive: (message) => post({ kind: 'agentMessage', backendServerId, message }),
-        closed: () => {
+        onClosed: () => {
           // A link that was replaced says nothing of the one in its place.
           if (clients.get(backendServerId) === client) {
             clients.delete(backendServerId);
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -144,7 +144,7 @@
 /** Refuses on a connection on which no request could be read. */
 function writeRefusal(socket: net.Socket, code: schema.ResultCode): void {
   const answer = failureAnswer.buildFailureAnswer(failureAnswer.buildRefusal(code));
-  runtime.writeRefusal(socket, answer);
+  runtime.writeErrorResponse(socket, answer);
 }
 
 /**
--- a/packages/entry/src/failure-answer.ts
+++ b/packages/entry/src/failure-answer.ts
@@ -69,5 +69,5 @@
     request_id: requestId,
   };
   const headers = buildHeaders(failure);
-  return { status: schema.getStatus(code), headers, body: JSON.stringify({ error }) };
+  return { status: schema.getHttpStatus(code), headers, body: JSON.stringify({ error }) };
 }
--- a/packages/entry/src/gauges.ts
+++ b/packages/entry/src/gauges.ts
@@ -4,7 +4,7 @@
 import * as status from './status.js';
 
 /** Lists the documents in force. */
-function listVersions(state: core.EntryState): runtime.Gauge[] {
+function listVersions(state: core.EntryState): runtime.MetricSample[] {
   return [...state.documents].map(([service, stored]) => ({
     name: 'document_version',
     labels: { service },
@@ -13,7 +13,7 @@
 }
 
 /** Lists requests in hand by tier. */
-function listHeld(state: core.EntryState): runtime.Gauge[] {
+function listHeld(state: core.EntryState): runtime.MetricSample[] {
   return status.countByTier(state).flatMap(({ service, tier, waiting, offered }) => [
     { name: 'requests_held', labels: { service, tier, status: 'waiting' }, value: waiting },
     { name: 'requests_held', labels: { service, tier, status: 'offered' }, value: offered },
@@ -21,7 +21,7 @@
 }
 
 /** Lists how many backend servers are in each state. */
-function listServers(state: core.EntryState, now: number): runtime.Gauge[] {
+function listServers(state: core.EntryState, now: number): runtime.MetricSample[] {
   const views = [...state.agents.values()];
   return [...state.documents.keys()].flatMap((service) => {
     const states = views
@@ -40,7 +40,7 @@
  *
  * @param now present time, milliseconds since the Unix epoch
  */
-export function listGauges(state: core.EntryState, now: number): runtime.Gauge[] {
+export function listGauges(state: core.EntryState, now: number): runtime.MetricSample[] {
   const suspects = { name: 'suspects', labels: {}, value: state.suspects.byDigest.size };
   return [...listVersions(state), ...listHeld(state), ...listServers(state, now), suspects];
 }
--- a/packages/entry/src/result-codes.test.ts
+++ b/packages/entry/src/result-codes.test.ts
@@ -35,7 +35,7 @@
       assert.equal(states, NONE, name);
       return;
     }
-    assert.equal(schema.getStatus(Number(number)), Number(status), name);
+    assert.equal(schema.getHttpStatus(Number(number)), Number(status), name);
     assert.ok(
       states.split(', ').every((state) => RUN_STATES.includes(state)),
       name,
--- a/packages/gateway/src/answer-relay.ts
+++ b/packages/gateway/src/answer-relay.ts
@@ -36,7 +36,7 @@
   /** Tells whether the request may be sent now that its connection is open. */
   mayLeave: () => boolean;
   /** Told of each answer that comes from the backend server. */
-  observeStatements: (names: wireProtocol.AnswerNames) => void;
+  observeStatements: (names: wireProtocol.ParsedResponseHeaders) => void;
 };
 
 type Relay = {
@@ -65,7 +65,7 @@
 function findHeadFault(
   { options }: Relay,
   head: heldRequest.AnswerHead,
-  names: wireProtocol.AnswerNames,
+  names: wireProtocol.ParsedResponseHeaders,
   isFresh: boolean,
 ): { fault: gateway.AttemptFault; reason: string } | undefined {
   const { attemptId } = options.held.request.arrived;
@@ -95,7 +95,7 @@
  * states about its backend server holds.
  */
 function isFromServer(
-  { attemptId, isNotRun, isMisdirected }: wireProtocol.AnswerNames,
+  { attemptId, isNotRun, isMisdirected }: wireProtocol.ParsedResponseHeaders,
   fault: gateway.AttemptFault | undefined,
 ): boolean {
   const isPlainRefusal = attemptId === undefined && isNotRun && !isMisdirected;
@@ -104,7 +104,7 @@
 
 /** Takes the head of an answer; false ends the attempt. */
 function takeHead(relay: Relay, head: heldRequest.AnswerHead, isFresh: boolean): boolean {
-  const names = relay.options.protocol.parseAnswer(head.status, head.headers);
+  const names = relay.options.protocol.parseResponseHeaders(head.status, head.headers);
   const found = findHeadFault(relay, head, names, isFresh);
   if (isFromServer(names, found?.fault)) {
     relay.options.observeStatements(names);
--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -80,9 +80,14 @@
 
 /** Tells whether the balancer may send callers here. */
 function isReady(state: gateway.GatewayState, readClocks: clocks.ReadClocks): boolean {
-  const { index, bounds, belief } = state;
-  const standing = gateway.getStanding(belief, index !== undefined, bounds.leaseMs, readClocks());
-  return state.shutdownMs === 0 && standing === gateway.Standing.CONFIRMED;
+  const { index, bounds, lease: belief } = state;
+  const standing = gateway.getLeaseStatus(
+    belief,
+    index !== undefined,
+    bounds.leaseMs,
+    readClocks(),
+  );
+  return state.shutdownMs === 0 && standing === gateway.LeaseStatus.CONFIRMED;
 }
 
 /** Starts the servers for operators: one for the balancer, one for metrics. */
--- a/packages/gateway/src/attempt-sending.ts
+++ b/packages/gateway/src/attempt-sending.ts
@@ -28,7 +28,7 @@
   held.attempt = undefined;
   if (outcome.kind === 'complete') {
     gateway.noteGoodAnswer(task.state, request, now);
-    gateway.noteWholeAnswer(task.state, request.arrived.hashContent, clocks);
+    gateway.noteCompleteResponse(task.state, request.arrived.hashContent, clocks);
     gateway.endRequest(task.state, request);
     requestEnding.forget(task, held);
     const fields = { server: serverId, status: outcome.status };
@@ -38,8 +38,8 @@
   }
   const { fault, reason, failure } = outcome;
   const hasBegun = held.exchange.response.headersSent;
-  const canGoOn = !hasBegun || held.events?.lastId !== undefined;
-  const progress = { hasBegun, canGoOn };
+  const canResume = !hasBegun || held.events?.lastId !== undefined;
+  const progress = { hasBegun, canResume };
   const { revision } = task.state.suspects;
   const verdict = gateway.handleAttemptFault(task.state, request, fault, progress, clocks);
   requestReports.reportFault(task, held, { serverId, fault, reason, verdict: verdict.kind }, now);
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -129,7 +129,7 @@
     return;
   }
   state.options.reportRefusal(code);
-  runtime.writeRefusal(socket, ownAnswer.buildOwnAnswer({ code, retryAfterMs: undefined }));
+  runtime.writeErrorResponse(socket, ownAnswer.buildOwnAnswer({ code, retryAfterMs: undefined }));
 }
 
 /** Creates the HTTP server. */
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -15,7 +15,7 @@
 };
 
 /** Lists what passed between a gateway and schedulers, and the cells that it schedules. */
-function listSchedulingValues(state: gateway.GatewayState): runtime.Gauge[] {
+function listSchedulingValues(state: gateway.GatewayState): runtime.MetricSample[] {
   const { asks, grantsUsed, grantsUnused, schedulersLeft } = state.schedulingTotals;
   const queues = [...state.scheduler.cells.values()].map(({ name, queue }) => ({
     name: 'cell_requests_queued',
@@ -32,7 +32,10 @@
 }
 
 /** Counts the backend servers that have stated something which holds now. */
-function listStatementValues({ servers }: gateway.GatewayState, now: number): runtime.Gauge[] {
+function listStatementValues(
+  { servers }: gateway.GatewayState,
+  now: number,
+): runtime.MetricSample[] {
   const all = [...servers.statements.values()];
   const leaving = all.filter(({ leavingSinceMs }) => leavingSinceMs !== undefined);
   const limited = all.filter(({ rateLimit }) => rateLimit?.perSecond !== undefined);
@@ -45,7 +48,7 @@
 }
 
 /** Lists the present values of a gateway. */
-function listGauges(state: gateway.GatewayState, now: number): runtime.Gauge[] {
+function listGauges(state: gateway.GatewayState, now: number): runtime.MetricSample[] {
   const version = state.index?.configuration.version ?? 0;
   return [
     { name: 'document_version', labels: {}, value: version },
--- a/packages/gateway/src/gateway-task.ts
+++ b/packages/gateway/src/gateway-task.ts
@@ -130,7 +130,7 @@
 
 /** Takes in a request that has been read. */
 function receive(task: taskState.TaskState, exchange: callerExchange.CallerExchange): void {
-  const names = task.protocol.parseRequest(exchange.headers);
+  const names = task.protocol.parseRequestHeaders(exchange.headers);
   const host = endToEndHeaders.findHeader(exchange.headers, 'host');
   if (names === undefined || host === undefined) {
     const code = schema.ResultCode.MALFORMED_REQUEST;
--- a/packages/gateway/src/own-answer.ts
+++ b/packages/gateway/src/own-answer.ts
@@ -6,11 +6,11 @@
 const MS_PER_SECOND = 1000;
 
 /** Builds the answer to a request that gets none of a backend server. */
-export function buildOwnAnswer({ code, retryAfterMs }: gateway.Refusal): runtime.OwnAnswer {
+export function buildOwnAnswer({ code, retryAfterMs }: gateway.Refusal): runtime.LocalResponse {
   const retryAfter: Record<string, string> =
     retryAfterMs === undefined ? {} : { 'retry-after': String(retryAfterMs / MS_PER_SECOND) };
   return {
-    status: schema.getStatus(code),
+    status: schema.getHttpStatus(code),
     headers: {
       'content-type': 'application/json',
       'x-toucanproxy-result': String(code),
--- a/packages/gateway/src/peer-task.ts
+++ b/packages/gateway/src/peer-task.ts
@@ -16,7 +16,7 @@
   /** Names who takes in what concerns schedulers; before that it is dropped. */
   passTo: (receiver: ScheduleReceiver) => void;
   /** Sends what was decided between gateways. */
-  send: (outgoing: readonly gateway.Outgoing[]) => void;
+  send: (outgoing: readonly gateway.OutgoingMessage[]) => void;
   /**
    * Tells the others, now and until the process stops, that this gateway is leaving: they
    * ask another scheduler before it is gone, not a fifth of a second after.
@@ -63,7 +63,7 @@
 
 /** Lists everyone that a report may be sent to. */
 function listAddresses({ options, own }: PeerState): string[] {
-  const all = new Set([...options.seeds, ...gateway.listContacts(options.state.peers)]);
+  const all = new Set([...options.seeds, ...gateway.listKnownAddresses(options.state.peers)]);
   all.delete(own);
   return [...all];
 }
@@ -108,7 +108,7 @@
 }
 
 /** Sends what was decided between gateways. */
-function sendOutgoing(peer: PeerState, outgoing: readonly gateway.Outgoing[]): void {
+function sendOutgoing(peer: PeerState, outgoing: readonly gateway.OutgoingMessage[]): void {
   outgoing.forEach((one) => {
     const content =
       one.kind === 'ask'
@@ -124,7 +124,7 @@
   const { sequence, options } = peer;
   const addresses = listAddresses(peer);
   const turn = reportTurns.computePartTurn(sequence, addresses.length, gateway.MAX_FAN_OUT);
-  const heard = gateway.listHeard(options.state.peers, options.readNow());
+  const heard = gateway.listReachablePeers(options.state.peers, options.readNow());
   const peers = reportTurns.pickInTurn(heard, turn, MAX_PEERS);
   const content = { case: 'report', value: buildReport(peer, turn, peers) } as const;
   reportTurns
@@ -144,7 +144,7 @@
 function greet(peer: PeerState, address: string): void {
   const { state, readNow } = peer.options;
   peer.greeted.add(address);
-  const heard = gateway.listHeard(state.peers, readNow());
+  const heard = gateway.listReachablePeers(state.peers, readNow());
   do {
     const peers = heard.splice(0, MAX_GREETING_PEERS);
     const content = { case: 'report', value: buildReport(peer, 0, peers) } as const;
@@ -184,7 +184,7 @@
   gateway.mergeSuspects(state.suspects, suspects, Date.now());
   peers
     .filter((one) => one !== peer.own)
-    .forEach((one) => gateway.addHearsay(state.peers, one, now));
+    .forEach((one) => gateway.addIndirectPeer(state.peers, one, now));
   if (isNewcomer) {
     greet(peer, address);
   }
--- a/packages/gateway/src/request-reports.ts
+++ b/packages/gateway/src/request-reports.ts
@@ -22,7 +22,7 @@
   { code, retryAfterMs, quota }: gateway.Refusal,
 ): void {
   const now = readClocks();
-  const beliefAgeMs = Math.round(gateway.computeAge(state.belief, now));
+  const beliefAgeMs = Math.round(gateway.computeConfirmationAge(state.lease, now));
   const version = state.index?.configuration.version;
   const line = {
     request: attemptId,
--- a/packages/gateway/src/server-items.ts
+++ b/packages/gateway/src/server-items.ts
@@ -80,6 +80,6 @@
   revision: gateway.StoreRevision,
 ): void {
   const changes = listEntries(parts, items).map((item) => applyItem(parts, item));
-  gateway.noteRead(parts.state.servers, revision);
+  gateway.noteReadRevision(parts.state.servers, revision);
   applyMembership(parts, changes);
 }
--- a/packages/gateway/src/statement-reports.ts
+++ b/packages/gateway/src/statement-reports.ts
@@ -26,7 +26,7 @@
 }
 
 /** Gets a value where an answer states one. */
-function getStated<T>(value: wireProtocol.StatedValue<T>): T | undefined {
+function getStated<T>(value: wireProtocol.ParsedHeaderValue<T>): T | undefined {
   return value.kind === 'stated' ? value.value : undefined;
 }
 
@@ -34,7 +34,7 @@
 export function takeStatements(
   { state, readClocks, log }: StatementParts,
   request: gateway.GatewayRequest,
-  { leaving, backoffMs, perSecond, isSigned }: wireProtocol.AnswerNames,
+  { leaving, backoffMs, perSecond, isSigned }: wireProtocol.ParsedResponseHeaders,
 ): void {
   const now = readClocks().steadyMs;
   const code = schema.ResultCode.SERVER_STATEMENT_FAULT;
@@ -51,6 +51,6 @@
     // A limit that cannot be read is not lifted by that.
     isSigned: isSigned && perSecond.kind !== 'unreadable',
   };
-  const changes = gateway.noteAnswerStatement(state, request, statement, now);
+  const changes = gateway.noteResponseStatement(state, request, statement, now);
   reportStatements(log, changes, undefined, now);
 }
--- a/packages/gateway/src/status.ts
+++ b/packages/gateway/src/status.ts
@@ -46,9 +46,9 @@
 ): Record<string, unknown> {
   return {
     version: state.index?.configuration.version,
-    beliefAgeMs: gateway.computeAge(state.belief, now),
+    beliefAgeMs: gateway.computeConfirmationAge(state.lease, now),
     storeLost: storeLink.isLost,
-    storeBehind: state.belief.behindSinceMs !== undefined,
+    storeBehind: state.lease.behindSinceMs !== undefined,
     storeRevision: state.servers.readRevision,
     requestsHeld: state.requests.size,
     backendServers: [...state.servers.byId.values()],
@@ -57,6 +57,6 @@
     statements: describeStatements(state, now.steadyMs),
     cells: describeCells(state),
     unknownNames: unknownNames.listUnknownNames(unknown),
-    peers: gateway.listContacts(state.peers),
+    peers: gateway.listKnownAddresses(state.peers),
   };
 }
--- a/packages/gateway/src/store-codec.ts
+++ b/packages/gateway/src/store-codec.ts
@@ -17,7 +17,7 @@
 export type StoreChanges = { items: StoreItem[]; revision: gateway.StoreRevision };
 
 /** What an answer says of the store's epoch. */
-export type AnswerEpoch =
+export type ParsedEpoch =
   { kind: 'none' } | { kind: 'told'; epoch: number } | { kind: 'unreadable'; text: string };
 
 export type StoreCodec = {
@@ -26,7 +26,7 @@
   /** Path of a call that waits for changes under a prefix after a revision. */
   buildWatchPath: (prefix: string, revision: gateway.StoreRevision, waitMs: number) => string;
   /** Reads the epoch from the headers of an answer. */
-  parseEpoch: (headers: ReadonlyMap<string, string>) => AnswerEpoch;
+  parseEpoch: (headers: ReadonlyMap<string, string>) => ParsedEpoch;
   /** Reads answers of an epoch; throws where they are not of the expected form. */
   decodePage: (body: string, epoch: number) => StorePage;
   decodeChanges: (body: string, epoch: number) => StoreChanges;
--- a/packages/gateway/src/store-epoch.ts
+++ b/packages/gateway/src/store-epoch.ts
@@ -23,8 +23,8 @@
 export type ResolvedEpoch = { epoch: number | undefined; fault: EpochFault | undefined };
 
 /** Resolves the epoch of an answer by the latest one that was read. */
-export function resolveEpoch(known: number, told: storeCodec.AnswerEpoch): ResolvedEpoch {
-  const isFirst = known === gateway.BEFORE_ALL.epoch;
+export function resolveEpoch(known: number, told: storeCodec.ParsedEpoch): ResolvedEpoch {
+  const isFirst = known === gateway.EARLIEST_REVISION.epoch;
   const isMissing = told.kind === 'none' && !isFirst && known !== NO_EPOCH;
   if (told.kind === 'unreadable' || isMissing) {
     const found = told.kind === 'unreadable' ? told.text : '';
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -123,12 +123,12 @@
   { state, log, readClocks }: FollowerParts,
   sent: gateway.ClockReading,
   isList: boolean,
-): gateway.StoreAnswerOutcome {
-  const outcome = gateway.noteStoreAnswer(state, sent, isList, readClocks().steadyMs);
-  if (outcome.news !== undefined) {
+): gateway.StoreResponseOutcome {
+  const outcome = gateway.noteStoreResponse(state, sent, isList, readClocks().steadyMs);
+  if (outcome.logEvent !== undefined) {
     const version = state.index?.configuration.version;
     const newest = gateway.findNewestVersion(state.peers, Infinity);
-    log.writeAlways(outcome.news, { version, newest });
+    log.writeAlways(outcome.logEvent, { version, newest });
   }
   return outcome;
 }
--- a/packages/gateway/src/store-reader.ts
+++ b/packages/gateway/src/store-reader.ts
@@ -114,7 +114,7 @@
     revision ??= page.revision;
     isLast = page.isLast || page.items.length === 0;
   }
-  return { items, revision: revision ?? gateway.BEFORE_ALL };
+  return { items, revision: revision ?? gateway.EARLIEST_REVISION };
 }
 
 /** Waits. */
@@ -150,7 +150,7 @@
   const sent = options.readClocks();
   const { items, revision } = await readAll(state);
   noteAnswer(state);
-  if (latest.epoch !== revision.epoch && latest !== gateway.BEFORE_ALL) {
+  if (latest.epoch !== revision.epoch && latest !== gateway.EARLIEST_REVISION) {
     options.applyEpoch({ before: latest, after: revision });
   }
   state.revision = revision;
@@ -235,7 +235,7 @@
   const state: ReaderState = {
     options,
     revision: undefined,
-    latest: gateway.BEFORE_ALL,
+    latest: gateway.EARLIEST_REVISION,
     failures: 0,
     lostMs: 0,
     stopped: false,
--- a/packages/gateway/src/task-state.ts
+++ b/packages/gateway/src/task-state.ts
@@ -16,7 +16,7 @@
   log: decisionLog.DecisionLog;
   metrics: gatewayMetrics.GatewayMetrics;
   unknown: unknownNames.UnknownNames;
-  sendToPeers: (outgoing: readonly gateway.Outgoing[]) => void;
+  sendToPeers: (outgoing: readonly gateway.OutgoingMessage[]) => void;
 };
 
 export type TaskState = GatewayTaskParts & {
--- a/packages/gateway/src/wire-protocol.ts
+++ b/packages/gateway/src/wire-protocol.ts
@@ -9,13 +9,13 @@
 export type RawHeaders = string[];
 
 /** What the headers of a request say. */
-export type RequestNames = Pick<
+export type ParsedRequestHeaders = Pick<
   gateway.ArrivedRequest,
   'attemptId' | 'credential' | 'deadlineMs' | 'tokens' | 'answerGuess'
 >;
 
 /** What the gateway itself tells a backend server about a request. */
-export type ForwardedFacts = {
+export type ForwardingContext = {
   deadlineLeftMs: number;
   serverId: string;
   /** Undefined where the request has no workspace. */
@@ -25,11 +25,11 @@
 };
 
 /** A value that an answer may state about its backend server. */
-export type StatedValue<T> =
+export type ParsedHeaderValue<T> =
   { kind: 'none' } | { kind: 'stated'; value: T } | { kind: 'unreadable'; text: string };
 
 /** What the head of an answer says. */
-export type AnswerNames = {
+export type ParsedResponseHeaders = {
   /** The request that it answers; undefined where it does not say. */
   attemptId: string | undefined;
   /** The backend server says that it did not run the request. */
@@ -39,19 +39,19 @@
   /** It bears the mark of a backend server. */
   isSigned: boolean;
   /** Requests a second that the backend server takes from all gateways together. */
-  perSecond: StatedValue<number>;
+  perSecond: ParsedHeaderValue<number>;
   /** The backend server leaves. */
-  leaving: StatedValue<true>;
+  leaving: ParsedHeaderValue<true>;
   /** Time for which the backend server takes nothing from this gateway, milliseconds. */
-  backoffMs: StatedValue<number>;
+  backoffMs: ParsedHeaderValue<number>;
   /** Headers of the platform that this product does not know. */
   unknown: unknownNames.UnknownName[];
 };
 
 export type WireProtocol = {
   /** Reads the headers of a request; undefined where they are faulty. */
-  parseRequest: (headers: RawHeaders) => RequestNames | undefined;
+  parseRequestHeaders: (headers: RawHeaders) => ParsedRequestHeaders | undefined;
   /** Builds the headers of a request for a backend server from end-to-end headers. */
-  buildForwardHeaders: (headers: RawHeaders, facts: ForwardedFacts) => RawHeaders;
-  parseAnswer: (status: number, headers: RawHeaders) => AnswerNames;
+  buildForwardHeaders: (headers: RawHeaders, facts: ForwardingContext) => RawHeaders;
+  parseResponseHeaders: (status: number, headers: RawHeaders) => ParsedResponseHeaders;
 };
--- a/packages/measure/src/gateway-load/replay-world.ts
+++ b/packages/measure/src/gateway-load/replay-world.ts
@@ -139,7 +139,7 @@
   };
   const state = gateway.createGatewayState(identity, bounds, world.draw, world.nowMs);
   state.index = gateway.buildConfigurationIndex(buildConfiguration(world.options.slots));
-  gateway.noteConfirmed(state.belief, readClocks(world));
+  gateway.noteConfirmed(state.lease, readClocks(world));
   world.engines.forEach(({ id }) => {
     const entry = {
       id,
--- a/packages/measure/src/gateway-load/replay.ts
+++ b/packages/measure/src/gateway-load/replay.ts
@@ -70,7 +70,7 @@
     return;
   }
   const state = world.states[live.gateway];
-  const progress = { hasBegun: false, canGoOn: true };
+  const progress = { hasBegun: false, canResume: true };
   const clocks = replayWorld.readClocks(world);
   const verdict = gateway.handleAttemptFault(state, live.request, fault, progress, clocks);
   if (verdict.kind === 'again') {
@@ -134,7 +134,7 @@
 function deliverDatagrams(world: replayWorld.World): void {
   const tickMs = world.nowMs;
   const byAddress = new Map(world.states.map((state) => [state.address, state]));
-  let next = datagramNetwork.takeNext(world.network, tickMs + TICK_MS);
+  let next = datagramNetwork.takeNextDue(world.network, tickMs + TICK_MS);
   while (next !== undefined) {
     const { content, dueMs } = next;
     const state = byAddress.get(content.to);
@@ -147,7 +147,7 @@
       applyAssignments(world, gateway.applyReply(state, content.reply, clocks));
       advance(world, state);
     }
-    next = datagramNetwork.takeNext(world.network, tickMs + TICK_MS);
+    next = datagramNetwork.takeNextDue(world.network, tickMs + TICK_MS);
   }
   world.nowMs = tickMs;
 }
@@ -155,7 +155,7 @@
 /** Lets all gateways do what they can do now. */
 function advanceAll(world: replayWorld.World): void {
   world.states.forEach((state) => {
-    gateway.noteConfirmed(state.belief, replayWorld.readClocks(world));
+    gateway.noteConfirmed(state.lease, replayWorld.readClocks(world));
     advance(world, state);
   });
 }
--- a/packages/proofs/src/backoff-failures.test.ts
+++ b/packages/proofs/src/backoff-failures.test.ts
@@ -100,7 +100,7 @@
   // Guards against callers of all gateways that wait since servers take nothing from one.
   const fleet = createFleet(FLEET);
   runLoad(fleet, 1000);
-  const statement = { ...gateway.NOTHING_STATED, backoffMs: BACKOFF_MS };
+  const statement = { ...gateway.EMPTY_STATEMENT, backoffMs: BACKOFF_MS };
   gatewayFleetState.listServerIds(fleet).forEach((serverId) => {
     const life = { id: serverId, bornMs: 1 };
     gateway.applyStatement(fleet.states[0].servers, life, statement, fleet.nowMs);
--- a/packages/proofs/src/configuration-calls.test.ts
+++ b/packages/proofs/src/configuration-calls.test.ts
@@ -58,8 +58,8 @@
 nodeTest.test('calls of the whole fleet in an outage', () => {
   // The service fails every call. Whatever is drawn, the readers of the target
   // size stay within what the service allows from the first retry on.
-  const shortestMs = runtime.computeRetryMs(1, true, () => 0);
-  const longestMs = runtime.computeRetryMs(1, true, () => 1);
+  const shortestMs = runtime.computeRetryDelayMs(1, true, () => 0);
+  const longestMs = runtime.computeRetryDelayMs(1, true, () => 1);
   const perSecond = (1000 * TARGET_READERS) / shortestMs;
   assert.ok(perSecond <= ALLOWED_PER_SECOND, `${perSecond} a second`);
   assert.ok(longestMs >= 2 * shortestMs);
--- a/packages/proofs/src/mocks/gateway-fleet-state.ts
+++ b/packages/proofs/src/mocks/gateway-fleet-state.ts
@@ -137,7 +137,7 @@
   state.index = gateway.buildConfigurationIndex(
     fleetConfiguration.buildConfiguration(fleet.options.slots, fleet.options.warmUp),
   );
-  gateway.noteConfirmed(state.belief, readClocks(fleet));
+  gateway.noteConfirmed(state.lease, readClocks(fleet));
   listServerIds(fleet).forEach((id) =>
     gateway.applyEntry(state.servers, buildEntry(fleet, id), fleet.nowMs),
   );
--- a/packages/proofs/src/mocks/gateway-fleet.ts
+++ b/packages/proofs/src/mocks/gateway-fleet.ts
@@ -124,7 +124,7 @@
   request: gateway.GatewayRequest,
   fault: gateway.AttemptFault,
 ): void {
-  const progress = { hasBegun: false, canGoOn: true };
+  const progress = { hasBegun: false, canResume: true };
   const clocks = fleetState.readClocks(fleet);
   const verdict = gateway.handleAttemptFault(fleet.states[index], request, fault, progress, clocks);
   if (verdict.kind !== 'again') {
@@ -141,8 +141,8 @@
   backoffMs: number,
 ): void {
   fleet.backedOff.push({ gateway: index, serverId, atMs: fleet.nowMs });
-  const statement = { ...gateway.NOTHING_STATED, backoffMs, isSigned: false };
-  gateway.noteAnswerStatement(fleet.states[index], request, statement, fleet.nowMs);
+  const statement = { ...gateway.EMPTY_STATEMENT, backoffMs, isSigned: false };
+  gateway.noteResponseStatement(fleet.states[index], request, statement, fleet.nowMs);
   endAttempt(fleet, index, request, gateway.AttemptFault.REFUSED);
 }
 
@@ -183,7 +183,7 @@
 /** Lets a gateway do what it can do now. */
 function advance(fleet: fleetState.GatewayFleet, index: number): void {
   const state = fleet.states[index];
-  gateway.noteConfirmed(state.belief, fleetState.readClocks(fleet));
+  gateway.noteConfirmed(state.lease, fleetState.readClocks(fleet));
   const { assignments, outgoing } = gateway.advance(state, fleetState.readClocks(fleet));
   datagramNetwork.sendDatagrams(fleet.network, state.address, outgoing, fleet.nowMs);
   applyAssignments(fleet, index, assignments);
@@ -218,7 +218,7 @@
       fleet.told.push({ gateway: index, serverId, atMs: fleet.nowMs });
     }
     const stated = { isLeaving, backoffMs: undefined, perSecond, isSigned: true };
-    gateway.noteAnswerStatement(fleet.states[index], request, stated, fleet.nowMs);
+    gateway.noteResponseStatement(fleet.states[index], request, stated, fleet.nowMs);
     gateway.noteGoodAnswer(fleet.states[index], request, fleet.nowMs);
     gateway.endRequest(fleet.states[index], request);
   });
@@ -227,8 +227,8 @@
 /** Delivers what arrives in one step; what is for a suspended gateway waits for it. */
 function deliverDue(fleet: fleetState.GatewayFleet): void {
   const stepMs = fleet.nowMs;
-  const held: ReturnType<typeof datagramNetwork.takeNext>[] = [];
-  let next = datagramNetwork.takeNext(fleet.network, stepMs + STEP_MS);
+  const held: ReturnType<typeof datagramNetwork.takeNextDue>[] = [];
+  let next = datagramNetwork.takeNextDue(fleet.network, stepMs + STEP_MS);
   while (next !== undefined) {
     const { content, dueMs } = next;
     const index = fleet.states.findIndex(({ address }) => address === content.to);
@@ -238,9 +238,9 @@
     } else if (!fleet.dead.has(index)) {
       held.push(next);
     }
-    next = datagramNetwork.takeNext(fleet.network, stepMs + STEP_MS);
+    next = datagramNetwork.takeNextDue(fleet.network, stepMs + STEP_MS);
   }
-  fleet.network.onWay.unshift(...held.filter((one) => one !== undefined));
+  fleet.network.inTransit.unshift(...held.filter((one) => one !== undefined));
   fleet.nowMs = stepMs;
 }
 
--- a/packages/proofs/src/rate-limit-failures.test.ts
+++ b/packages/proofs/src/rate-limit-failures.test.ts
@@ -164,9 +164,9 @@
   const { sent, states, nowMs } = fleet;
   const request = sent.find((one) => one.serverId === LIMITED)?.request;
   assert.ok(request !== undefined);
-  const stated = { ...gateway.NOTHING_STATED, perSecond: PER_SECOND, isSigned: true };
+  const stated = { ...gateway.EMPTY_STATEMENT, perSecond: PER_SECOND, isSigned: true };
   const answered = { ...request, serverId: LIMITED };
-  gateway.noteAnswerStatement(states[told], answered, stated, nowMs);
+  gateway.noteResponseStatement(states[told], answered, stated, nowMs);
   runLoad(fleet, 100);
   gatewayFaults.stopGateway(fleet, told);
   runLoad(fleet, 3000);
--- a/packages/proofs/src/soak/soak-call.ts
+++ b/packages/proofs/src/soak/soak-call.ts
@@ -1,7 +1,7 @@
 /** One call of a soak, noted from its sending to its end. */
 import * as http from 'node:http';
-import * as gatewayScene from '@toucanproxy/platform/mocks/gateway-scene';
-import * as standInWire from '@toucanproxy/platform/mocks/stand-in-wire';
+import * as gatewayScene from '@toucanproxy/platform/mocks/gateway-fixture';
+import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
 import type * as soakRecords from './soak-records.js';
 
 /** What is to be sent. */
@@ -47,8 +47,8 @@
       status,
       body,
       headers: given,
-      isWhole,
-    } = await gatewayScene.fetchAnswer(port, call.path, options, 0);
+      isComplete: isWhole,
+    } = await gatewayScene.fetchResponse(port, call.path, options, 0);
     const isSigned = standInWire.isSigned(given);
     call.answer = { status, body, isSigned, isWhole };
   } catch {
--- a/packages/proofs/src/soak/soak-evacuations.ts
+++ b/packages/proofs/src/soak/soak-evacuations.ts
@@ -1,6 +1,6 @@
 /** Failure domains that a soak has evacuated and takes back, one after the other. */
 import * as timers from 'node:timers/promises';
-import * as standInWire from '@toucanproxy/platform/mocks/stand-in-wire';
+import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as randomSource from '../mocks/random-source.js';
 import * as soakFleet from './soak-fleet.js';
 import * as soakSeries from './soak-series.js';
--- a/packages/proofs/src/soak/soak-faults.ts
+++ b/packages/proofs/src/soak/soak-faults.ts
@@ -7,7 +7,7 @@
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import * as timers from 'node:timers/promises';
-import * as standInWire from '@toucanproxy/platform/mocks/stand-in-wire';
+import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as storeStandIn from '@toucanproxy/platform/mocks/store-stand-in';
 import type * as forwarder from '../mocks/forwarder.js';
 import * as randomSource from '../mocks/random-source.js';
@@ -258,7 +258,7 @@
     [FaultKind.BACKEND_ANSWERS_CUT]: () => link.cutAnswers(),
     [FaultKind.BACKEND_SLOW]: () => holdLink(link, forMs),
     [FaultKind.ENTRY_UNREADABLE]: () => {
-      standInWire.writeUnreadable(fleet.store, server.id);
+      standInWire.writeMalformedEntry(fleet.store, server.id);
       setTimeout(() => soakFleet.publishBackend(fleet, backend), forMs);
     },
   };
