--- a/packages/proofs/src/soak/soak-fleet.ts
+++ b/packages/proofs/src/soak/soak-fleet.ts
@@ -6,7 +6,7 @@
 import * as timers from 'node:timers/promises';
 import * as url from 'node:url';
 import * as freePort from '@toucanproxy/platform/mocks/free-port';
-import * as standInWire from '@toucanproxy/platform/mocks/stand-in-wire';
+import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as storeStandIn from '@toucanproxy/platform/mocks/store-stand-in';
 import * as forwarder from '../mocks/forwarder.js';
 import type * as randomSource from '../mocks/random-source.js';
@@ -86,7 +86,7 @@
 export function publishBackend(
   fleet: SoakFleet,
   backend: SoakBackend,
-  state: standInWire.ServerFacts['state'] = 'ready',
+  state: standInWire.BackendServerSpec['state'] = 'ready',
 ): void {
   standInWire.writeServer(fleet.store, {
     id: backend.server.id,
--- a/packages/proofs/src/soak/soak-server.ts
+++ b/packages/proofs/src/soak/soak-server.ts
@@ -1,7 +1,7 @@
 /** A backend server of a soak: answers well, badly or not at all, and may crash. */
 import type * as net from 'node:net';
-import * as runnerStandIn from '@toucanproxy/platform/mocks/runner-stand-in';
-import * as standInWire from '@toucanproxy/platform/mocks/stand-in-wire';
+import * as runnerStandIn from '@toucanproxy/platform/mocks/backend-server-stand-in';
+import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as randomSource from '../mocks/random-source.js';
 import * as soakRecords from './soak-records.js';
 
@@ -42,9 +42,13 @@
 const EVENT_MS = 10;
 
 /** Notes a request that begins to run. */
-function noteRun(state: ServerState, request: runnerStandIn.RunnerRequest): soakRecords.RunRecord {
-  const { attemptId, workspace, hasCredential, resumeAfter } = standInWire.readRequest(request);
-  const [method, path] = request.head.split(' ');
+function noteRun(
+  state: ServerState,
+  request: runnerStandIn.ReceivedRequest,
+): soakRecords.RunRecord {
+  const { attemptId, workspace, hasCredential, resumeAfter } =
+    standInWire.parseForwardedRequest(request);
+  const [method, path] = request.requestLine.split(' ');
   const run = {
     id: attemptId,
     server: state.id,
@@ -69,23 +73,23 @@
   if (isLeaving) {
     statement.told.push({ id, atMs: readNow() });
   }
-  const limited = limit ? standInWire.addRateLimit(answer, limit.perSecond) : answer;
-  return isLeaving ? standInWire.addLeaving(limited) : limited;
+  const limited = limit ? standInWire.addRateLimitHeader(answer, limit.perSecond) : answer;
+  return isLeaving ? standInWire.addLeavingHeader(limited) : limited;
 }
 
 /** Refuses a request as it wants nothing for a while; false where it takes it. */
 function refuseWithBackoff(
   { statement, draw, readNow }: ServerState,
-  request: runnerStandIn.RunnerRequest,
+  request: runnerStandIn.ReceivedRequest,
   socket: net.Socket,
 ): boolean {
   const isAsking = statement?.kind === soakRecords.StatementKind.BACKOFF;
   if (!isAsking || draw() >= REFUSED_SHARE) {
     return false;
   }
-  const { attemptId: id } = standInWire.readRequest(request);
+  const { attemptId: id } = standInWire.parseForwardedRequest(request);
   statement.told.push({ id, atMs: readNow() });
-  socket.write(standInWire.buildBackoff(request, statement.backoffMs));
+  socket.write(standInWire.buildBackoffResponse(request, statement.backoffMs));
   return true;
 }
 
@@ -119,15 +123,15 @@
 /** Sends a plain answer: whole, cut, failed or without a length. */
 function sendPlain(
   state: ServerState,
-  request: runnerStandIn.RunnerRequest,
+  request: runnerStandIn.ReceivedRequest,
   socket: net.Socket,
   run: soakRecords.RunRecord,
 ): void {
   const luck = state.draw();
-  const whole = runnerStandIn.buildAnswer(request, `${run.id} for ${run.workspace}`);
+  const whole = runnerStandIn.buildResponse(request, `${run.id} for ${run.workspace}`);
   const answer = addStatements(state, run.id, whole);
   if (luck < FAILED_SHARE) {
-    socket.write(standInWire.buildFailed(request));
+    socket.write(standInWire.buildFailedResponse(request));
   } else if (luck < FAILED_SHARE + CUT_SHARE) {
     socket.write(answer.slice(0, -3), () => socket.resetAndDestroy());
   } else if (luck < FAILED_SHARE + CUT_SHARE + UNFRAMED_SHARE) {
@@ -138,21 +142,25 @@
 }
 
 /** Works on one request. */
-function serve(state: ServerState, request: runnerStandIn.RunnerRequest, socket: net.Socket): void {
-  const { attemptId: id, serverId } = standInWire.readRequest(request);
+function serve(
+  state: ServerState,
+  request: runnerStandIn.ReceivedRequest,
+  socket: net.Socket,
+): void {
+  const { attemptId: id, serverId } = standInWire.parseForwardedRequest(request);
   const { arrivals } = state.records;
   arrivals.set(id, [...(arrivals.get(id) ?? []), state.readNow()]);
   state.limit?.arrivals.push({ id, atMs: state.readNow() });
   state.statement?.arrivals.push({ id, atMs: state.readNow() });
   if (serverId !== state.id) {
-    socket.write(standInWire.buildMisdirected(request));
+    socket.write(standInWire.buildMisdirectedResponse(request));
     return;
   }
   if (refuseWithBackoff(state, request, socket)) {
     return;
   }
   if (state.active >= SLOTS) {
-    socket.write(runnerStandIn.buildNotRun(request));
+    socket.write(runnerStandIn.buildNotRunResponse(request));
     return;
   }
   state.active += 1;
@@ -183,10 +191,10 @@
   records: soakRecords.SoakRecords,
   readNow: () => number,
 ): Promise<SoakServer> {
-  const runner = await runnerStandIn.startRunnerStandIn();
+  const runner = await runnerStandIn.startBackendServerStandIn();
   const facts = { id, failureDomain, draw, records, readNow };
   const state: ServerState = { ...facts, active: 0, limit: undefined, statement: undefined };
-  runner.setScript((request, socket) => serve(state, request, socket));
+  runner.setRequestHandler((request, socket) => serve(state, request, socket));
   const server: SoakServer = {
     id,
     port: runner.port,
--- a/packages/runtime/src/client-error.ts
+++ b/packages/runtime/src/client-error.ts
@@ -4,7 +4,7 @@
 import * as schema from '@toucanproxy/schema';
 
 /** An answer of this process itself. */
-export type OwnAnswer = { status: number; headers: Record<string, string>; body: string };
+export type LocalResponse = { status: number; headers: Record<string, string>; body: string };
 
 const CODE_BY_ERROR: Record<string, schema.ResultCode> = {
   HPE_HEADER_OVERFLOW: schema.ResultCode.HEADERS_TOO_LARGE,
@@ -19,7 +19,7 @@
 }
 
 /** Writes a refusal to a connection on which no request could be read. */
-export function writeRefusal(socket: net.Socket, answer: OwnAnswer): void {
+export function writeErrorResponse(socket: net.Socket, answer: LocalResponse): void {
   // Node.js leaves no listener on the connection of a tunnel; an error that
   // nobody takes would end the process.
   socket.on('error', () => socket.destroy());
--- a/packages/runtime/src/configuration-watch.ts
+++ b/packages/runtime/src/configuration-watch.ts
@@ -43,7 +43,7 @@
  * half of the longest, the rest drawn. Without a document it doubles with each
  * such call in a row.
  */
-export function computeRetryMs(
+export function computeRetryDelayMs(
   failures: number,
   hasDocument: boolean,
   drawRandom: () => number,
@@ -113,7 +113,7 @@
     // A service that fails, or that answers at once with a document that is not
     // taken (faulty or old), would otherwise be called in a tight loop.
     if (failures > 0) {
-      await waitFor(computeRetryMs(failures, version > 0, options.drawRandom), signal);
+      await waitFor(computeRetryDelayMs(failures, version > 0, options.drawRandom), signal);
     } else if (version !== before) {
       await waitFor(options.drawRandom() * NEXT_CALL_MS, signal);
     }
--- a/packages/runtime/src/link-client.ts
+++ b/packages/runtime/src/link-client.ts
@@ -16,7 +16,7 @@
   /** Bytes that may wait to be sent; the default where left out. */
   maxWaitingBytes?: number;
   /** Called once, for whatever reason the link ended. */
-  closed: () => void;
+  onClosed: () => void;
 };
 
 /** Reads messages until the link ends. */
@@ -51,7 +51,7 @@
     controller.abort();
     outbox.close();
     sessionManager.abort();
-    options.closed();
+    options.onClosed();
   };
   const answers = client.connect(outbox.messages, { signal: controller.signal });
   readMessages(answers, (message) => open && options.receive(message)).then(close, close);
--- a/packages/runtime/src/link-outbox.test.ts
+++ b/packages/runtime/src/link-outbox.test.ts
@@ -47,7 +47,7 @@
   const client = linkClient.openLinkClient({
     address: `127.0.0.1:${port}`,
     receive: () => undefined,
-    closed: () => ended.give(),
+    onClosed: () => ended.give(),
     maxWaitingBytes: MAX_WAITING_BYTES,
   });
   const timer = setInterval(() => client.send(buildOffer()), 1);
@@ -63,9 +63,9 @@
   const server = await linkServer.startLinkServer({
     host: '127.0.0.1',
     port: 0,
-    opened: opened.give,
+    onOpened: opened.give,
     receive: () => undefined,
-    closed: ended.give,
+    onClosed: ended.give,
     maxWaitingBytes: MAX_WAITING_BYTES,
   });
   const baseUrl = `http://127.0.0.1:${server.port}`;
--- a/packages/runtime/src/link-server.ts
+++ b/packages/runtime/src/link-server.ts
@@ -19,9 +19,9 @@
 type LinkServerOptions = {
   host: string;
   port: number;
-  opened: (linkId: number) => void;
+  onOpened: (linkId: number) => void;
   receive: (linkId: number, message: schema.EntryMessage) => void;
-  closed: (linkId: number) => void;
+  onClosed: (linkId: number) => void;
   /** Bytes that may wait to be sent on one link; the default where left out. */
   maxWaitingBytes?: number;
 };
@@ -51,7 +51,7 @@
     }
     links.delete(linkId);
     link.outbox.close();
-    options.closed(linkId);
+    options.onClosed(linkId);
   };
 
   async function* serveLink(messages: AsyncIterable<schema.EntryMessage>) {
@@ -59,7 +59,7 @@
     nextLinkId += 1;
     const link: OpenLink = { outbox: linkOutbox.createLinkOutbox(options.maxWaitingBytes) };
     links.set(linkId, link);
-    options.opened(linkId);
+    options.onOpened(linkId);
     const receive = (message: schema.EntryMessage) =>
       links.has(linkId) && options.receive(linkId, message);
     readMessages(messages, receive).then(
--- a/packages/runtime/src/metrics.ts
+++ b/packages/runtime/src/metrics.ts
@@ -7,7 +7,7 @@
 export type Labels = Record<string, string>;
 
 /** A value that is read when the metrics are rendered. */
-export type Gauge = { name: string; labels: Labels; value: number };
+export type MetricSample = { name: string; labels: Labels; value: number };
 
 /** Times of one metric and one set of labels, milliseconds. */
 type Times = {
@@ -192,7 +192,7 @@
 }
 
 /** Lists what every process tells of itself. */
-function listProcessGauges(): Gauge[] {
+function listProcessGauges(): MetricSample[] {
   const { user, system } = process.cpuUsage();
   const seconds = (user + system) / MICROSECONDS_PER_SECOND;
   return [
@@ -206,7 +206,7 @@
  *
  * @param now present time, milliseconds since the Unix epoch
  */
-export function renderMetrics(metrics: Metrics, now: number, gauges: Gauge[] = []): string {
+export function renderMetrics(metrics: Metrics, now: number, gauges: MetricSample[] = []): string {
   updatePeriods(metrics, now);
   const values = new Map(metrics.counters);
   [...gauges, ...listProcessGauges()].forEach(({ name, labels, value }) =>
--- a/packages/schema/src/fault.ts
+++ b/packages/schema/src/fault.ts
@@ -8,7 +8,7 @@
   allowed: string;
 };
 
-export type Parsed<T> = { kind: 'parsed'; value: T } | { kind: 'faulty'; faults: Fault[] };
+export type ParseResult<T> = { kind: 'parsed'; value: T } | { kind: 'faulty'; faults: Fault[] };
 
 /** A check of a message; all faults at once. */
 export type Check<T> = (message: T) => Fault[];
--- a/packages/schema/src/parse-document.ts
+++ b/packages/schema/src/parse-document.ts
@@ -39,7 +39,7 @@
   descriptor: S,
   data: protobuf.JsonValue,
   rules: fault.Rule<protobuf.MessageShape<S>>[],
-): fault.Parsed<protobuf.MessageShape<S>> {
+): fault.ParseResult<protobuf.MessageShape<S>> {
   const structural = checkStructure.checkStructure(descriptor, data);
   if (typeof data !== 'object' || data === null || Array.isArray(data)) {
     return { kind: 'faulty', faults: structural };
@@ -59,7 +59,7 @@
   descriptor: S,
   json: string,
   rules: fault.Rule<protobuf.MessageShape<S>>[],
-): fault.Parsed<protobuf.MessageShape<S>> {
+): fault.ParseResult<protobuf.MessageShape<S>> {
   let data: protobuf.JsonValue;
   try {
     data = JSON.parse(json) as protobuf.JsonValue;
@@ -74,16 +74,16 @@
 }
 
 /** Parses a service document. */
-export function parseDocument(json: string): fault.Parsed<documentPb.ServiceDocument> {
+export function parseDocument(json: string): fault.ParseResult<documentPb.ServiceDocument> {
   return parseMessage(documentPb.ServiceDocumentSchema, json, checkDocument.DOCUMENT_RULES);
 }
 
 /** Parses the settings of an entry. */
-export function parseEntrySettings(json: string): fault.Parsed<settingsPb.EntrySettings> {
+export function parseEntrySettings(json: string): fault.ParseResult<settingsPb.EntrySettings> {
   return parseMessage(settingsPb.EntrySettingsSchema, json, checkSettings.ENTRY_RULES);
 }
 
 /** Parses the settings of an agent. */
-export function parseAgentSettings(json: string): fault.Parsed<settingsPb.AgentSettings> {
+export function parseAgentSettings(json: string): fault.ParseResult<settingsPb.AgentSettings> {
   return parseMessage(settingsPb.AgentSettingsSchema, json, checkSettings.AGENT_RULES);
 }
--- a/packages/schema/src/result-status.ts
+++ b/packages/schema/src/result-status.ts
@@ -42,6 +42,6 @@
 };
 
 /** Gets the HTTP status that a result is answered with. */
-export function getStatus(code: resultPb.ResultCode): number {
+export function getHttpStatus(code: resultPb.ResultCode): number {
   return STATUS_BY_CODE[code] ?? DEFAULT_STATUS;
 }
