--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -83,9 +83,14 @@
 
 /** Returns whether the load balancer may send callers here. */
 function isReady(state: gateway.GatewayState, readClocks: clocks.ReadClocks): boolean {
-  const { index, bounds, belief } = state;
-  const standing = gateway.getStanding(belief, index !== undefined, bounds.leaseMs, readClocks());
-  return state.shutdownMs === 0 && standing === gateway.Standing.CONFIRMED;
+  const { index, bounds, lease: belief } = state;
+  const standing = gateway.getLeaseStatus(
+    belief,
+    index !== undefined,
+    bounds.leaseMs,
+    readClocks(),
+  );
+  return state.shutdownMs === 0 && standing === gateway.LeaseStatus.CONFIRMED;
 }
 
 /** Starts the operator servers: one for the load balancer, and one for metrics if configured. */
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -137,7 +137,10 @@
     return;
   }
   state.options.reportRefusal(code);
-  runtime.writeRefusal(socket, localResponse.buildLocalResponse({ code, retryAfterMs: undefined }));
+  runtime.writeErrorResponse(
+    socket,
+    localResponse.buildLocalResponse({ code, retryAfterMs: undefined }),
+  );
 }
 
 /** Creates the HTTP server. */
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -16,7 +16,7 @@
 };
 
 /** Lists the totals of requests to schedulers, and the queues of the cells scheduled here. */
-function listSchedulingValues(state: gateway.GatewayState): runtime.Gauge[] {
+function listSchedulingValues(state: gateway.GatewayState): runtime.MetricSample[] {
   const { asks, grantsUsed, grantsUnused, schedulersLeft } = state.schedulingTotals;
   const queues = [...state.scheduler.cells.values()].map(({ name, queue }) => ({
     name: 'cell_requests_queued',
@@ -33,7 +33,10 @@
 }
 
 /** Counts the backend servers whose statements are in effect, by kind of statement. */
-function listStatementValues({ servers }: gateway.GatewayState, now: number): runtime.Gauge[] {
+function listStatementValues(
+  { servers }: gateway.GatewayState,
+  now: number,
+): runtime.MetricSample[] {
   const all = [...servers.statements.values()];
   const leaving = all.filter(({ leavingSinceMs }) => leavingSinceMs !== undefined);
   const limited = all.filter(({ rateLimit }) => rateLimit?.perSecond !== undefined);
@@ -46,7 +49,7 @@
 }
 
 /** Lists the current values of a gateway that are not recorded as they change. */
-function listGauges(state: gateway.GatewayState, now: number): runtime.Gauge[] {
+function listGauges(state: gateway.GatewayState, now: number): runtime.MetricSample[] {
   const version = state.index?.configuration.version ?? 0;
   return [
     { name: 'document_version', labels: {}, value: version },
--- a/packages/gateway/src/gateway-task.ts
+++ b/packages/gateway/src/gateway-task.ts
@@ -130,7 +130,7 @@
 
 /** Handles a request that has been read completely: admits or refuses it. */
 function receive(task: taskState.TaskState, exchange: callerExchange.CallerExchange): void {
-  const parsed = task.protocol.parseRequest(exchange.headers);
+  const parsed = task.protocol.parseRequestHeaders(exchange.headers);
   const host = endToEndHeaders.findHeader(exchange.headers, 'host');
   if (parsed === undefined || host === undefined) {
     const code = schema.ResultCode.MALFORMED_REQUEST;
--- a/packages/gateway/src/local-response.ts
+++ b/packages/gateway/src/local-response.ts
@@ -6,11 +6,11 @@
 const MS_PER_SECOND = 1000;
 
 /** Builds the response for a request that is refused. */
-export function buildLocalResponse({ code, retryAfterMs }: gateway.Refusal): runtime.OwnAnswer {
+export function buildLocalResponse({ code, retryAfterMs }: gateway.Refusal): runtime.LocalResponse {
   const retryAfter: Record<string, string> =
     retryAfterMs === undefined ? {} : { 'retry-after': String(retryAfterMs / MS_PER_SECOND) };
   return {
-    status: schema.getStatus(code),
+    status: schema.getHttpStatus(code),
     headers: {
       'content-type': 'application/json',
       'x-toucanproxy-result': String(code),
--- a/packages/gateway/src/peer-task.ts
+++ b/packages/gateway/src/peer-task.ts
@@ -15,7 +15,7 @@
   /** Sets the receiver of scheduler messages; until then they are dropped. */
   setScheduleReceiver: (receiver: ScheduleReceiver) => void;
   /** Sends ScheduleAsk messages and the replies of the scheduler here. */
-  send: (outgoing: readonly gateway.Outgoing[]) => void;
+  send: (outgoing: readonly gateway.OutgoingMessage[]) => void;
   /**
    * Reports now, and in all later reports, that this gateway is leaving. The other gateways then
    * ask another scheduler before this one is gone, rather than 200 ms after.
@@ -63,7 +63,7 @@
 
 /** Lists all addresses that a report may be sent to. */
 function listAddresses({ options, ownAddress }: PeerState): string[] {
-  const all = new Set([...options.seeds, ...gateway.listContacts(options.state.peers)]);
+  const all = new Set([...options.seeds, ...gateway.listKnownAddresses(options.state.peers)]);
   all.delete(ownAddress);
   return [...all];
 }
@@ -110,7 +110,7 @@
 }
 
 /** Sends ScheduleAsk messages and the replies of the scheduler here. */
-function sendOutgoing(peer: PeerState, outgoing: readonly gateway.Outgoing[]): void {
+function sendOutgoing(peer: PeerState, outgoing: readonly gateway.OutgoingMessage[]): void {
   outgoing.forEach((message) => {
     const content =
       message.kind === 'ask'
@@ -126,7 +126,7 @@
   const { sequence, options } = peer;
   const addresses = listAddresses(peer);
   const round = reportRounds.computeContentRound(sequence, addresses.length, gateway.MAX_FAN_OUT);
-  const reachable = gateway.listHeard(options.state.peers, options.readNow());
+  const reachable = gateway.listReachablePeers(options.state.peers, options.readNow());
   const peers = reportRounds.pickForRound(reachable, round, MAX_PEERS);
   const content = { case: 'report', value: buildReport(peer, round, peers) } as const;
   reportRounds
@@ -147,7 +147,7 @@
 function sendPeerList(peer: PeerState, address: string): void {
   const { state, readNow } = peer.options;
   peer.peerListSentTo.add(address);
-  const reachable = gateway.listHeard(state.peers, readNow());
+  const reachable = gateway.listReachablePeers(state.peers, readNow());
   do {
     const peers = reachable.splice(0, MAX_PEERS_IN_FULL_LIST);
     const content = { case: 'report', value: buildReport(peer, 0, peers) } as const;
@@ -187,7 +187,7 @@
   gateway.mergeSuspects(state.suspects, suspects, Date.now());
   peers
     .filter((indirect) => indirect !== peer.ownAddress)
-    .forEach((indirect) => gateway.addHearsay(state.peers, indirect, now));
+    .forEach((indirect) => gateway.addIndirectPeer(state.peers, indirect, now));
   if (isNewLife) {
     sendPeerList(peer, address);
   }
--- a/packages/gateway/src/response-relay.ts
+++ b/packages/gateway/src/response-relay.ts
@@ -40,7 +40,7 @@
   /** Whether the request may still be sent now that its connection is open. */
   canSend: () => boolean;
   /** Called for each response that comes from the intended backend server. */
-  observeStatements: (parsed: wireProtocol.AnswerNames) => void;
+  observeStatements: (parsed: wireProtocol.ParsedResponseHeaders) => void;
 };
 
 type Relay = {
@@ -72,7 +72,7 @@
 function findHeadFault(
   { options }: Relay,
   head: heldRequest.ResponseHead,
-  parsed: wireProtocol.AnswerNames,
+  parsed: wireProtocol.ParsedResponseHeaders,
   isNewConnection: boolean,
 ): { fault: gateway.AttemptFault; reason: string } | undefined {
   const { attemptId } = options.held.request.arrived;
@@ -102,7 +102,7 @@
  * request, but what it states about the backend server is still valid.
  */
 function isFromServer(
-  { attemptId, isNotRun, isMisdirected }: wireProtocol.AnswerNames,
+  { attemptId, isNotRun, isMisdirected }: wireProtocol.ParsedResponseHeaders,
   fault: gateway.AttemptFault | undefined,
 ): boolean {
   const isPlainRefusal = attemptId === undefined && isNotRun && !isMisdirected;
@@ -115,7 +115,7 @@
   head: heldRequest.ResponseHead,
   isNewConnection: boolean,
 ): boolean {
-  const parsed = relay.options.protocol.parseAnswer(head.status, head.headers);
+  const parsed = relay.options.protocol.parseResponseHeaders(head.status, head.headers);
   const found = findHeadFault(relay, head, parsed, isNewConnection);
   if (isFromServer(parsed, found?.fault)) {
     relay.options.observeStatements(parsed);
--- a/packages/gateway/src/server-items.ts
+++ b/packages/gateway/src/server-items.ts
@@ -83,6 +83,6 @@
   revision: gateway.StoreRevision,
 ): void {
   const changes = listEntries(dependencies, items).map((item) => applyItem(dependencies, item));
-  gateway.noteRead(dependencies.state.servers, revision);
+  gateway.noteReadRevision(dependencies.state.servers, revision);
   applyMembership(dependencies, changes);
 }
--- a/packages/gateway/src/statement-reports.ts
+++ b/packages/gateway/src/statement-reports.ts
@@ -27,7 +27,7 @@
 }
 
 /** Returns the value if the response states one. */
-function getStated<T>(value: wireProtocol.StatedValue<T>): T | undefined {
+function getStated<T>(value: wireProtocol.ParsedHeaderValue<T>): T | undefined {
   return value.kind === 'stated' ? value.value : undefined;
 }
 
@@ -35,7 +35,7 @@
 export function applyStatements(
   { state, readClocks, log }: StatementDependencies,
   request: gateway.GatewayRequest,
-  { leaving, backoffMs, perSecond, isSigned }: wireProtocol.AnswerNames,
+  { leaving, backoffMs, perSecond, isSigned }: wireProtocol.ParsedResponseHeaders,
 ): void {
   const now = readClocks().steadyMs;
   const code = schema.ResultCode.SERVER_STATEMENT_FAULT;
@@ -53,6 +53,6 @@
     // not.
     isSigned: isSigned && perSecond.kind !== 'unreadable',
   };
-  const changes = gateway.noteAnswerStatement(state, request, statement, now);
+  const changes = gateway.noteResponseStatement(state, request, statement, now);
   reportStatements(log, changes, undefined, now);
 }
--- a/packages/gateway/src/store-codec.ts
+++ b/packages/gateway/src/store-codec.ts
@@ -17,7 +17,7 @@
 export type StoreChanges = { items: StoreItem[]; revision: gateway.StoreRevision };
 
 /** The store's epoch as given by the headers of a response. */
-export type AnswerEpoch =
+export type ParsedEpoch =
   { kind: 'none' } | { kind: 'told'; epoch: number } | { kind: 'unreadable'; text: string };
 
 export type StoreCodec = {
@@ -26,7 +26,7 @@
   /** Builds the path that waits for changes under a prefix after a revision. */
   buildWatchPath: (prefix: string, revision: gateway.StoreRevision, waitMs: number) => string;
   /** Parses the epoch from the headers of a response. */
-  parseEpoch: (headers: ReadonlyMap<string, string>) => AnswerEpoch;
+  parseEpoch: (headers: ReadonlyMap<string, string>) => ParsedEpoch;
   /** Decode a response body of the given epoch; throw if it is malformed. */
   decodePage: (body: string, epoch: number) => StorePage;
   decodeChanges: (body: string, epoch: number) => StoreChanges;
--- a/packages/gateway/src/store-epoch.ts
+++ b/packages/gateway/src/store-epoch.ts
@@ -25,8 +25,8 @@
 export type ResolvedEpoch = { epoch: number | undefined; fault: EpochFault | undefined };
 
 /** Determines the epoch of a response, given the last epoch that was read. */
-export function resolveEpoch(known: number, parsed: storeCodec.AnswerEpoch): ResolvedEpoch {
-  const isFirst = known === gateway.BEFORE_ALL.epoch;
+export function resolveEpoch(known: number, parsed: storeCodec.ParsedEpoch): ResolvedEpoch {
+  const isFirst = known === gateway.EARLIEST_REVISION.epoch;
   const isMissing = parsed.kind === 'none' && !isFirst && known !== NO_EPOCH;
   if (parsed.kind === 'unreadable' || isMissing) {
     const found = parsed.kind === 'unreadable' ? parsed.text : '';
--- a/packages/gateway/src/store-reader.ts
+++ b/packages/gateway/src/store-reader.ts
@@ -117,7 +117,7 @@
     revision ??= page.revision;
     isLast = page.isLast || page.items.length === 0;
   }
-  return { items, revision: revision ?? gateway.BEFORE_ALL };
+  return { items, revision: revision ?? gateway.EARLIEST_REVISION };
 }
 
 /** Waits for a time, milliseconds. */
@@ -153,7 +153,7 @@
   const sent = options.readClocks();
   const { items, revision } = await readAll(state);
   recordResponse(state);
-  if (latestRevision.epoch !== revision.epoch && latestRevision !== gateway.BEFORE_ALL) {
+  if (latestRevision.epoch !== revision.epoch && latestRevision !== gateway.EARLIEST_REVISION) {
     options.applyEpoch({ before: latestRevision, after: revision });
   }
   state.revision = revision;
@@ -238,7 +238,7 @@
   const state: ReaderState = {
     options,
     revision: undefined,
-    latestRevision: gateway.BEFORE_ALL,
+    latestRevision: gateway.EARLIEST_REVISION,
     failures: 0,
     lostSinceMs: 0,
     stopped: false,
--- a/packages/gateway/src/wire-protocol.ts
+++ b/packages/gateway/src/wire-protocol.ts
@@ -9,13 +9,13 @@
 export type RawHeaders = string[];
 
 /** Values parsed from the headers of a request. */
-export type RequestNames = Pick<
+export type ParsedRequestHeaders = Pick<
   gateway.ArrivedRequest,
   'attemptId' | 'credential' | 'deadlineMs' | 'tokens' | 'answerGuess'
 >;
 
 /** What the gateway itself adds to a request for a backend server. */
-export type ForwardedFacts = {
+export type ForwardingContext = {
   deadlineLeftMs: number;
   serverId: string;
   /** Undefined if the request has no workspace. */
@@ -25,11 +25,11 @@
 };
 
 /** A header value that a response may state about its backend server. */
-export type StatedValue<T> =
+export type ParsedHeaderValue<T> =
   { kind: 'none' } | { kind: 'stated'; value: T } | { kind: 'unreadable'; text: string };
 
 /** Values parsed from the status and headers of a response. */
-export type AnswerNames = {
+export type ParsedResponseHeaders = {
   /** The request that it responds to; undefined if the response does not say. */
   attemptId: string | undefined;
   /** Whether the backend server reports that it did not run the request. */
@@ -39,19 +39,19 @@
   /** Whether the response carries the signature header that backend servers set. */
   isSigned: boolean;
   /** Rate limit of the backend server for all gateways together, requests per second. */
-  perSecond: StatedValue<number>;
+  perSecond: ParsedHeaderValue<number>;
   /** Whether the backend server reports that it is leaving. */
-  leaving: StatedValue<true>;
+  leaving: ParsedHeaderValue<true>;
   /** Time for which the backend server accepts nothing from this gateway, milliseconds. */
-  backoffMs: StatedValue<number>;
+  backoffMs: ParsedHeaderValue<number>;
   /** Headers of the platform that the gateway does not know. */
   unknown: unknownNames.UnknownName[];
 };
 
 export type WireProtocol = {
   /** Parses the headers of a request; undefined if they are invalid. */
-  parseRequest: (headers: RawHeaders) => RequestNames | undefined;
+  parseRequestHeaders: (headers: RawHeaders) => ParsedRequestHeaders | undefined;
   /** Builds the headers of a request to a backend server from the caller's end-to-end headers. */
-  buildForwardHeaders: (headers: RawHeaders, facts: ForwardedFacts) => RawHeaders;
-  parseAnswer: (status: number, headers: RawHeaders) => AnswerNames;
+  buildForwardHeaders: (headers: RawHeaders, facts: ForwardingContext) => RawHeaders;
+  parseResponseHeaders: (status: number, headers: RawHeaders) => ParsedResponseHeaders;
 };
--- a/packages/runtime/src/configuration-watch.ts
+++ b/packages/runtime/src/configuration-watch.ts
@@ -44,7 +44,7 @@
  * Computes the delay before a retry, milliseconds: half of a maximum, plus a random share of the
  * other half. Without a document the maximum doubles with each consecutive failure.
  */
-export function computeRetryMs(
+export function computeRetryDelayMs(
   failures: number,
   hasDocument: boolean,
   drawRandom: () => number,
@@ -118,7 +118,7 @@
     // Without this delay, a service that fails, or that returns at once with a document that is not
     // accepted (invalid or outdated), would be called in a tight loop.
     if (failures > 0) {
-      await waitFor(computeRetryMs(failures, version > 0, options.drawRandom), signal);
+      await waitFor(computeRetryDelayMs(failures, version > 0, options.drawRandom), signal);
     } else if (version !== before) {
       await waitFor(options.drawRandom() * NEXT_CALL_MS, signal);
     }
--- a/packages/runtime/src/link-client.ts
+++ b/packages/runtime/src/link-client.ts
@@ -19,7 +19,7 @@
   /** Maximum number of bytes that wait to be sent; optional. */
   maxWaitingBytes?: number;
   /** Called once when the link has ended, for whatever reason. */
-  closed: () => void;
+  onClosed: () => void;
 };
 
 /** Reads messages until the link ends. */
@@ -54,7 +54,7 @@
     controller.abort();
     outbox.close();
     sessionManager.abort();
-    options.closed();
+    options.onClosed();
   };
   const messages = client.connect(outbox.messages, { signal: controller.signal });
   readMessages(messages, (message) => isOpen && options.receive(message)).then(close, close);
--- a/packages/runtime/src/metrics.ts
+++ b/packages/runtime/src/metrics.ts
@@ -7,7 +7,7 @@
 export type Labels = Record<string, string>;
 
 /** A value that is determined when the metrics are rendered. */
-export type Gauge = { name: string; labels: Labels; value: number };
+export type MetricSample = { name: string; labels: Labels; value: number };
 
 /** Durations of one metric and one set of labels, milliseconds. */
 type Summary = {
@@ -194,7 +194,7 @@
 }
 
 /** Lists the metrics of the process itself. */
-function listProcessGauges(): Gauge[] {
+function listProcessGauges(): MetricSample[] {
   const { user, system } = process.cpuUsage();
   const seconds = (user + system) / MICROSECONDS_PER_SECOND;
   return [
@@ -208,7 +208,7 @@
  *
  * @param now current time, milliseconds since the Unix epoch
  */
-export function renderMetrics(metrics: Metrics, now: number, gauges: Gauge[] = []): string {
+export function renderMetrics(metrics: Metrics, now: number, gauges: MetricSample[] = []): string {
   updatePeriods(metrics, now);
   const values = new Map(metrics.counters);
   [...gauges, ...listProcessGauges()].forEach(({ name, labels, value }) =>
