--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -83,14 +83,14 @@
 
 /** Returns whether the load balancer may send callers here. */
 function isReady(state: gateway.GatewayState, readClocks: clocks.ReadClocks): boolean {
-  const { index, bounds, lease: belief } = state;
-  const standing = gateway.getLeaseStatus(
-    belief,
+  const { index, bounds, lease } = state;
+  const leaseStatus = gateway.getLeaseStatus(
+    lease,
     index !== undefined,
     bounds.leaseMs,
     readClocks(),
   );
-  return state.shutdownMs === 0 && standing === gateway.LeaseStatus.CONFIRMED;
+  return state.shutdownMs === 0 && leaseStatus === gateway.LeaseStatus.CONFIRMED;
 }
 
 /** Starts the operator servers: one for the load balancer, and one for metrics if configured. */
@@ -137,12 +137,12 @@
  * the configuration is known, they would be refused and retry only later. The wait is bounded
  * because the store may be unreachable for long and public routes need no confirmed configuration.
  */
-async function waitForFirstRead({ firstRead }: storeReader.StoreReader): Promise<void> {
+async function waitForFirstRead({ first }: storeReader.StoreReader): Promise<void> {
   let timer: NodeJS.Timeout | undefined;
   const timeout = new Promise<void>((resolve) => {
     timer = setTimeout(resolve, FIRST_READ_TIMEOUT_MS);
   });
-  await Promise.race([firstRead, timeout]);
+  await Promise.race([first, timeout]);
   clearTimeout(timer);
 }
 
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -15,7 +15,7 @@
   render: () => string;
 };
 
-/** Lists the totals of requests to schedulers, and the queues of the cells scheduled here. */
+/** Lists totals of the messages to schedulers and their grants, and queue lengths by cell. */
 function listSchedulingValues(state: gateway.GatewayState): runtime.MetricSample[] {
   const { asks, grantsUsed, grantsUnused, schedulersLeft } = state.schedulingTotals;
   const queues = [...state.scheduler.cells.values()].map(({ name, queue }) => ({
@@ -49,7 +49,7 @@
 }
 
 /** Lists the current values of a gateway that are not recorded as they change. */
-function listGauges(state: gateway.GatewayState, now: number): runtime.MetricSample[] {
+function listSamples(state: gateway.GatewayState, now: number): runtime.MetricSample[] {
   const version = state.index?.configuration.version ?? 0;
   return [
     { name: 'document_version', labels: {}, value: version },
@@ -87,6 +87,6 @@
       runtime.recordObservation(metrics, { kind: 'queueWait', tier: String(urgency), ms }),
     recordFirstEvent: (route, ms) =>
       runtime.recordObservation(metrics, { kind: 'firstByte', service: '', tier: route, ms }),
-    render: () => runtime.renderMetrics(metrics, Date.now(), listGauges(state, readSteadyMs())),
+    render: () => runtime.renderMetrics(metrics, Date.now(), listSamples(state, readSteadyMs())),
   };
 }
--- a/packages/gateway/src/store-reader.ts
+++ b/packages/gateway/src/store-reader.ts
@@ -42,7 +42,7 @@
 
 export type StoreReader = {
   /** Resolves once all items have been read for the first time. */
-  firstRead: Promise<void>;
+  first: Promise<void>;
   stop: () => void;
 };
 
@@ -232,7 +232,7 @@
 /** Starts following a prefix. */
 export function startStoreReader(options: StoreReaderOptions): StoreReader {
   let resolveFirstRead = () => {};
-  const firstRead = new Promise<void>((resolve) => {
+  const first = new Promise<void>((resolve) => {
     resolveFirstRead = resolve;
   });
   const state: ReaderState = {
@@ -246,7 +246,7 @@
   };
   run(state);
   return {
-    firstRead,
+    first,
     stop: () => {
       state.stopped = true;
       options.client.stop();
--- a/packages/gateway/src/wire-protocol.ts
+++ b/packages/gateway/src/wire-protocol.ts
@@ -52,6 +52,6 @@
   /** Parses the headers of a request; undefined if they are invalid. */
   parseRequestHeaders: (headers: RawHeaders) => ParsedRequestHeaders | undefined;
   /** Builds the headers of a request to a backend server from the caller's end-to-end headers. */
-  buildForwardHeaders: (headers: RawHeaders, facts: ForwardingContext) => RawHeaders;
+  buildForwardHeaders: (headers: RawHeaders, context: ForwardingContext) => RawHeaders;
   parseResponseHeaders: (status: number, headers: RawHeaders) => ParsedResponseHeaders;
 };
--- a/packages/runtime/src/client-error.ts
+++ b/packages/runtime/src/client-error.ts
@@ -19,7 +19,7 @@
 }
 
 /** Writes an error response to a connection whose request could not be read, and closes it. */
-export function writeErrorResponse(socket: net.Socket, answer: LocalResponse): void {
+export function writeErrorResponse(socket: net.Socket, response: LocalResponse): void {
   // Node.js leaves no error listener on the connection of a tunnel, and an unhandled error event
   // would terminate the process.
   socket.on('error', () => socket.destroy());
@@ -27,7 +27,7 @@
     socket.destroy();
     return;
   }
-  const { status, headers, body } = answer;
+  const { status, headers, body } = response;
   const lines = [
     `HTTP/1.1 ${status} ${http.STATUS_CODES[status] ?? ''}`,
     ...Object.entries(headers).map(([name, value]) => `${name}: ${value}`),
--- a/packages/runtime/src/metrics.ts
+++ b/packages/runtime/src/metrics.ts
@@ -183,7 +183,7 @@
   ];
 }
 
-/** Renders counters and gauges, grouped by metric. */
+/** Renders counters and sampled values, grouped by metric. */
 function renderValues(all: Map<string, Map<string, number>>): string[] {
   return [...all]
     .sort(([a], [b]) => (a < b ? -1 : 1))
@@ -194,7 +194,7 @@
 }
 
 /** Lists the metrics of the process itself. */
-function listProcessGauges(): MetricSample[] {
+function listProcessSamples(): MetricSample[] {
   const { user, system } = process.cpuUsage();
   const seconds = (user + system) / MICROSECONDS_PER_SECOND;
   return [
@@ -208,10 +208,10 @@
  *
  * @param now current time, milliseconds since the Unix epoch
  */
-export function renderMetrics(metrics: Metrics, now: number, gauges: MetricSample[] = []): string {
+export function renderMetrics(metrics: Metrics, now: number, samples: MetricSample[] = []): string {
   updatePeriods(metrics, now);
   const values = new Map(metrics.counters);
-  [...gauges, ...listProcessGauges()].forEach(({ name, labels, value }) =>
+  [...samples, ...listProcessSamples()].forEach(({ name, labels, value }) =>
     getSeries(values, name).set(formatLabels(labels), value),
   );
   const summaries = [...metrics.summaries].flatMap(([name, series]) => [
