--- a/packages/core/src/gateway/answer-statements.ts
+++ b/packages/core/src/gateway/answer-statements.ts
@@ -1,21 +1,21 @@
-/** Takes in what an answer states about its backend server, and has its scheduler told. */
+/** Applies the statements of a response about its backend server and notifies the scheduler. */
 import * as asking from './asking.js';
 import * as backendServers from './backend-servers.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
 import type * as serverStatements from './server-statements.js';
 
-/** What an answer says in its head. */
-export type StatedValues = Omit<serverStatements.AnswerStatement, 'answered' | 'sentWallMs'> & {
-  /** The backend server has signed the answer. */
+/** Statements in the headers of a response. */
+export type HeaderStatement = Omit<serverStatements.AnswerStatement, 'answered' | 'sentWallMs'> & {
+  /** The backend server has signed the response. */
   isSigned: boolean;
 };
 
-/** Takes in what the answer to a request states, and gives what is news. */
+/** Applies the statements of the response to a request; returns the resulting changes. */
 export function noteAnswerStatement(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
-  { isSigned, ...values }: StatedValues,
+  { isSigned, ...values }: HeaderStatement,
   now: number,
 ): serverStatements.StatementChange[] {
   const { serverId, serverBornMs, service } = request;
--- a/packages/core/src/gateway/ask-messages.ts
+++ b/packages/core/src/gateway/ask-messages.ts
@@ -1,8 +1,9 @@
 /**
- * What the schedulers of cells are told, and when.
+ * Builds the asks (`ScheduleAsk` messages to the schedulers of cells) and decides when to send
+ * them.
  *
- * All that this gateway has in flight travels with each ask, and what was not answered
- * is asked again: asks that are lost, doubled or late cost time only.
+ * Each ask carries all requests that this gateway has in flight in the cell, and asks without
+ * a reply are sent again. Asks that are lost, duplicated or late therefore only cost time.
  */
 import * as schema from '@toucanproxy/schema';
 import * as allowedDomains from './allowed-domains.js';
@@ -14,32 +15,31 @@
 import * as schedulerRanking from './scheduler-ranking.js';
 import * as serverStatements from './server-statements.js';
 
-/** An ask and the scheduler that it is for. */
+/** An ask and the address of the scheduler that it is for. */
 export type AddressedAsk = { to: string; ask: schema.ScheduleAsk };
 
 /**
- * An ask that was not answered is sent again after this time, milliseconds: several
- * times what a datagram and its answer take within a region. Not sent again, the word
- * of the last end would be lost with its datagram, and its place stay empty until the
- * scheduler forgets the gateway.
+ * An ask without a reply is sent again after this time, in milliseconds: several times the
+ * round trip of a datagram within a region. Otherwise, if the datagram that reports the end of
+ * the last request were lost, its slot would stay empty until the scheduler forgets the gateway.
  */
 const RESEND_MS = 60;
 /**
- * A scheduler that answers nothing for this time is silent, milliseconds. A gateway with
- * a quarter of a core stands still for up to 75 ms of each 100, and one datagram may be
- * lost; callers of the most urgent kinds give 400 ms.
+ * A scheduler that sends no reply for this time is unreachable, in milliseconds. A gateway with a
+ * quarter of a core is paused for up to 75 ms of every 100 ms, and one datagram may be lost;
+ * callers of the most urgent kinds wait 400 ms.
  */
-const SILENCE_MS = 200;
-/** How often a scheduler is told of what waits, and of what is in flight, milliseconds. */
-const WAITING_MS = 100;
-const IN_FLIGHT_MS = 250;
-/** Requests, and numbers of requests, in one ask, so that it fits 1,400 bytes. */
+const REPLY_TIMEOUT_MS = 200;
+/** Maximum time between asks while requests are waiting or in flight, in milliseconds. */
+const WAITING_INTERVAL_MS = 100;
+const IN_FLIGHT_INTERVAL_MS = 250;
+/** Maximum number of items of each kind in one ask, so that it fits in 1,400 bytes. */
 const MAX_REQUESTS = 8;
 const MAX_SERIALS = 48;
 const MAX_OBSERVATIONS = 12;
 const MAX_STATEMENTS = 8;
 
-/** Lists what this gateway has in flight at the backend servers of a cell. */
+/** Counts this gateway's requests in flight at each backend server of a cell. */
 function listInFlight(
   state: gatewayState.GatewayState,
   { cell, service }: schedulerLink.SchedulerLink,
@@ -51,7 +51,7 @@
     .map(([serverId, requests]) => ({ serverId, requests }));
 }
 
-/** Lists the statements of a cell's backend servers that its scheduler gets. */
+/** Lists the statements of a cell's backend servers that are sent to its scheduler. */
 function listStatements(
   { servers, split }: gatewayState.GatewayState,
   { cell, service }: schedulerLink.SchedulerLink,
@@ -60,9 +60,9 @@
   return [...servers.statements]
     .filter(([id, statement]) => {
       const bornMs = servers.byId.get(id)?.entry.bornMs;
-      const isOfLife = bornMs !== undefined && serverStatements.isAbout(statement, bornMs);
+      const isAboutPresentLife = bornMs !== undefined && serverStatements.isAboutLife(statement, bornMs);
       const isInCell = fleetSplit.findCellOf(split, service, id) === cell;
-      return isOfLife && isInCell && serverStatements.isReported(statement, now);
+      return isAboutPresentLife && isInCell && serverStatements.isReportable(statement, now);
     })
     .map(([serverId, { bornMs, sentWallMs, leavingSinceMs, backoffUntilMs, rateLimit }]) =>
       schema.create(schema.ServerStatementSchema, {
@@ -79,7 +79,7 @@
     );
 }
 
-/** Takes the next few statements for the scheduler of a cell: all of them in turn. */
+/** Takes the statements for the next ask, in rotation through all of them. */
 function takeStatements(
   link: schedulerLink.SchedulerLink,
   all: readonly schema.ServerStatement[],
@@ -90,7 +90,7 @@
   return taken;
 }
 
-/** Describes a request that asks for a place. */
+/** Builds the description of a request that waits for a slot. */
 function buildWaiting(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -117,8 +117,8 @@
   });
 }
 
-/** Takes the requests of a link that are to be asked for now. */
-function takeAskable(
+/** Takes the requests of a link for which a slot must be asked for now. */
+function takeUnaccepted(
   state: gatewayState.GatewayState,
   { asks }: schedulerLink.SchedulerLink,
   now: number,
@@ -133,13 +133,13 @@
   });
 }
 
-/** Builds what the scheduler of a cell is told now: several asks where one is too small. */
+/** Builds the asks for the scheduler of a cell: several if not all requests fit in one. */
 function buildAsks(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
   now: number,
 ): schema.ScheduleAsk[] {
-  const requests = takeAskable(state, link, now);
+  const requests = takeUnaccepted(state, link, now);
   const inFlight = listInFlight(state, link, now);
   const statements = listStatements(state, link, now);
   const accepted = [...link.asks].filter(([, { isAccepted }]) => isAccepted);
@@ -167,14 +167,14 @@
   return asks;
 }
 
-/** Turns to the scheduler that is to be asked now. */
+/** Switches a link to the present scheduler of its cell. */
 function updateScheduler(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
   now: number,
 ): void {
   const { unansweredMs } = link;
-  if (unansweredMs !== undefined && now - unansweredMs > SILENCE_MS) {
+  if (unansweredMs !== undefined && now - unansweredMs > REPLY_TIMEOUT_MS) {
     schedulerRanking.noteSilent(state.ranking, link.address, now);
   }
   const { address } = asking.chooseScheduler(state, link.cell, now);
@@ -184,8 +184,8 @@
   }
 }
 
-/** Tells whether something is to be told to the scheduler of a cell now. */
-function isTellingDue(
+/** Returns whether an ask to the scheduler of a cell must be sent now. */
+function isAskDue(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
   now: number,
@@ -197,12 +197,12 @@
   const isUnaccepted = [...link.asks.values()].some(({ isAccepted }) => !isAccepted);
   return (
     ((isUnaccepted || link.unansweredMs !== undefined) && sinceMs >= RESEND_MS) ||
-    (link.asks.size > 0 && sinceMs >= WAITING_MS) ||
-    (sinceMs >= IN_FLIGHT_MS && listInFlight(state, link, now).length > 0)
+    (link.asks.size > 0 && sinceMs >= WAITING_INTERVAL_MS) ||
+    (sinceMs >= IN_FLIGHT_INTERVAL_MS && listInFlight(state, link, now).length > 0)
   );
 }
 
-/** Asks elsewhere for what waits in a cell that is no more. */
+/** Removes the link of a cell that no longer exists and asks in other cells for its requests. */
 function dropLink(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
@@ -215,14 +215,14 @@
     .forEach((request) => asking.askPlace(state, request, now));
 }
 
-/** Collects what the schedulers are to be told now. */
+/** Collects the asks that must be sent now. */
 export function collectAsks(state: gatewayState.GatewayState, now: number): AddressedAsk[] {
   [...state.links.values()]
     .filter(({ service, cell }) => !asking.getSplit(state, service, now).cellNames.includes(cell))
     .forEach((link) => dropLink(state, link, now));
   return [...state.links.values()].flatMap((link) => {
     updateScheduler(state, link, now);
-    if (!isTellingDue(state, link, now)) {
+    if (!isAskDue(state, link, now)) {
       return [];
     }
     const to = link.address;
--- a/packages/core/src/gateway/ask-receipt.ts
+++ b/packages/core/src/gateway/ask-receipt.ts
@@ -1,4 +1,4 @@
-/** Takes in what another gateway tells this one as the scheduler of a cell. */
+/** Receives the asks that other gateways send to this one as the scheduler of a cell. */
 import type * as schema from '@toucanproxy/schema';
 import * as scheduler from '../scheduler/index.js';
 import * as backendServers from './backend-servers.js';
@@ -6,11 +6,11 @@
 import * as serverStatements from './server-statements.js';
 
 /**
- * Takes in an ask; gives what is news of backend servers.
+ * Receives an ask; returns the resulting changes of backend server statements.
  *
- * A departure that another gateway was told of holds here too: it ends with the life of the
- * backend server, and a scheduler that did not know of it would grant places there. What is told
- * of an earlier life, by a gateway that has not read of the restart yet, is left out.
+ * If a backend server has stated to another gateway that it is leaving, this holds here too
+ * until it restarts; otherwise the scheduler would grant slots at it. Statements about an
+ * earlier incarnation, from a gateway that has not read of the restart yet, are ignored.
  */
 export function receiveAsk(
   state: gatewayState.GatewayState,
@@ -26,7 +26,7 @@
     });
   const statements = ask.statements.filter((statement) => {
     const known = state.servers.byId.get(statement.serverId);
-    return known === undefined || serverStatements.isAbout(statement, known.entry.bornMs);
+    return known === undefined || serverStatements.isAboutLife(statement, known.entry.bornMs);
   });
   scheduler.receiveAsk(state.scheduler, { ...ask, statements }, now);
   return changes;
--- a/packages/core/src/gateway/backend-servers.test.ts
+++ b/packages/core/src/gateway/backend-servers.test.ts
@@ -8,12 +8,12 @@
 const { buildEntry, buildRevision } = gatewayBench;
 const RETURN_MS = 2000;
 
-/** Tells whether the one backend server may get new work. */
+/** Returns whether the only backend server may receive new work. */
 function isUsable(servers: backendServers.BackendServers, now = 0): boolean {
   return backendServers.listUsable(servers, 'one', now).length === 1;
 }
 
-/** Creates a register with one backend server. */
+/** Creates a registry with one backend server. */
 function createWithOne(): backendServers.BackendServers {
   const servers = backendServers.createBackendServers();
   serverEntries.applyEntry(servers, buildEntry('a'), 0);
@@ -26,9 +26,10 @@
   assert.equal(isUsable(servers), false);
 });
 
-test('entry that lapsed in an outage', () => {
-  // Entries lapse while the store is away, as nobody can renew them. Taken as
-  // gone at its return, all living backend servers would be left out at once.
+test('entry that expired during a store outage', () => {
+  // Store entries expire during an outage, because backend servers cannot renew them. If they
+  // counted as gone once the store is back, all running backend servers would be excluded at
+  // once.
   const servers = createWithOne();
   backendServers.noteStoreReturned(servers, RETURN_MS, 1000);
   assert.equal(
@@ -41,10 +42,10 @@
   assert.equal(isUsable(servers), false);
 });
 
-test('missing entry ends by the time, not by the next answer', () => {
-  // A gateway's way to the store is back, and a backend server leaves. Its entry
-  // counts as missing until its time is over. The store's next answer comes a
-  // second later; work sent in between reaches a backend server that has left.
+test('missing entry expires by time, not with the next store response', () => {
+  // A gateway can reach the store again, and then a backend server leaves. Its entry counts
+  // as missing until the grace period ends. The store's next response arrives a second
+  // later; work sent in between would go to a backend server that has left.
   const servers = createWithOne();
   backendServers.noteStoreReturned(servers, RETURN_MS, 1000);
   serverEntries.removeEntry(servers, 'a', 1500);
@@ -52,16 +53,16 @@
   assert.equal(isUsable(servers, 3000), false);
 });
 
-test('leaving entry that lapsed does not stay', () => {
+test('expired entry of a leaving server is not kept', () => {
   const servers = createWithOne();
   serverEntries.applyEntry(servers, buildEntry('a', { leaving: true }), 0);
   backendServers.noteStoreReturned(servers, RETURN_MS, 1000);
   assert.equal(serverEntries.removeEntry(servers, 'a', 1001)?.change, 'gone');
 });
 
-test('started again under its id', () => {
-  // A backend server crashed and is back under the same id, with a later start.
-  // What was held against its earlier life does not hold any more.
+test('restarted under the same id', () => {
+  // A backend server crashed and is back under the same id with a later start time. It must be
+  // usable although its previous incarnation was displaced.
   const servers = createWithOne();
   backendServers.noteDisplaced(servers, 'a');
   assert.equal(isUsable(servers), false);
@@ -72,16 +73,16 @@
   assert.equal(isUsable(servers), true);
 });
 
-test('told of a backend server before it was read', () => {
+test('entry received with a grant before it was read from the store', () => {
   const servers = backendServers.createBackendServers();
   serverEntries.noteRead(servers, buildRevision(10));
   serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.equal(isUsable(servers), true);
 });
 
-test('told of a backend server that was removed', () => {
-  // This gateway has read that a backend server is gone; the scheduler, which has not,
-  // grants a place there. Taken in again, it would get work that nobody answers.
+test('entry received with a grant after it was removed', () => {
+  // This gateway has read that a backend server is gone. The scheduler has not, and grants a
+  // slot there. If the entry were added again, requests would go to a server that is gone.
   const servers = createWithOne();
   serverEntries.noteRead(servers, buildRevision(10));
   serverEntries.removeEntry(servers, 'a', 0);
@@ -89,7 +90,7 @@
   assert.equal(isUsable(servers), false);
 });
 
-test('what was told does not change what was read', () => {
+test('entry received with a grant does not replace one read from the store', () => {
   const servers = createWithOne();
   serverEntries.applyEntry(
     servers,
@@ -100,9 +101,10 @@
   assert.equal(isUsable(servers), false);
 });
 
-test('list that is older than what was told', () => {
-  // The store's list was read just before a backend server came, of which a scheduler tells
-  // meanwhile. Taken as gone, its connections would be closed with what runs on them.
+test('snapshot older than an entry received with a grant', () => {
+  // The snapshot was read just before a backend server was added, and a scheduler's grant
+  // brings its entry meanwhile. If it counted as gone, its connections would be closed with
+  // the requests running on them.
   const servers = backendServers.createBackendServers();
   serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.deepEqual(serverEntries.applySnapshot(servers, [], buildRevision(10), 0), []);
--- a/packages/core/src/gateway/backend-servers.ts
+++ b/packages/core/src/gateway/backend-servers.ts
@@ -1,16 +1,17 @@
 /**
- * Which backend servers a gateway knows and may send to.
+ * Registry of the backend servers that a gateway knows, and which of them may receive requests.
  *
- * Entries come from the store. An entry that disappears right after the store
- * was away may only have lapsed while its backend server could not renew it; it
- * stays usable until the time in which living ones are back has passed. Any
- * other entry that disappears is gone at once.
+ * Each backend server has a store entry: its record in the configuration store. An entry that
+ * disappears right after a store outage may only have expired while its backend server could
+ * not renew it. The server stays usable for a grace period in which running backend servers
+ * write their entries again. A server whose entry disappears at any other time is removed at
+ * once.
  *
- * One that has said in an answer that it leaves gets nothing new for the rest of its life: its
- * entry may tell so late, or never while the store is away.
+ * A backend server that has stated in a response that it is leaving receives no new requests
+ * until it restarts: its entry may reflect this late, or not at all during a store outage.
  *
- * Those in a failure domain that operators have had evacuated get nothing new either,
- * whatever their entries say.
+ * Backend servers in an evacuated failure domain receive no new requests either, whatever
+ * their entries contain.
  */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as storeRevision from '../shared/store-revision.js';
@@ -20,46 +21,46 @@
 
 export type KnownServer = {
   entry: backendServerEntry.BackendServerEntry;
-  /** Its entry disappeared while entries may have lapsed; usable until this time. */
+  /** Set if its entry disappeared during the grace period; usable until this time. */
   missingUntilMs: number | undefined;
-  /** Another backend server answered at its address. */
+  /** Another backend server responded at its address. */
   displaced: boolean;
-  /** When its entry was read last, and when this life was first seen, milliseconds. */
+  /** When its entry was last read, and when this incarnation was first seen, in ms. */
   readMs: number;
   firstSeenMs: number;
-  /** Gets no new work until this time, milliseconds: see `server-entries.ts`. */
+  /** Receives no new work until this time, in milliseconds: see `server-entries.ts`. */
   heldUntilMs: number;
 };
 
-/** A backend server that is gone: its life, and when it went. */
+/** The incarnation of a removed backend server, and when it was removed. */
 export type Departure = {
   bornMs: number;
-  /** Epoch of the store in which it went. */
+  /** Store epoch in which it was removed. */
   epoch: number;
   atMs: number;
 };
 
 export type BackendServers = {
   byId: Map<string, KnownServer>;
-  /** Those that went lately, by id. */
+  /** Recently removed backend servers, by id. */
   departed: Map<string, Departure>;
-  /** Until this time an entry that disappears may still come back. */
-  returnUntilMs: number;
-  /** What backend servers have stated in their answers. */
+  /** Entries that disappear before this time count as missing, not as gone. */
+  missingGraceUntilMs: number;
+  /** Statements that backend servers have made in their responses. */
   statements: serverStatements.ServerStatements;
   evacuations: evacuations.Evacuations;
-  /** Revision of the store up to which this gateway has read. */
+  /** Store revision up to which this gateway has read. */
   readRevision: storeRevision.StoreRevision;
-  /** Goes up with each change. */
+  /** Incremented with each change. */
   revision: number;
 };
 
-/** Creates an empty register. */
+/** Creates an empty registry. */
 export function createBackendServers(): BackendServers {
   return {
     byId: new Map(),
     departed: new Map(),
-    returnUntilMs: 0,
+    missingGraceUntilMs: 0,
     statements: new Map(),
     evacuations: evacuations.createEvacuations(),
     readRevision: storeRevision.BEFORE_ALL,
@@ -67,12 +68,17 @@
   };
 }
 
-/** Notes that the store has returned: living entries are back within the given time. */
+/**
+ * Records that the store is available again.
+ *
+ * @param returnMs grace period in which running backend servers write their entries again, in
+ *   milliseconds
+ */
 export function noteStoreReturned(servers: BackendServers, returnMs: number, now: number): void {
-  servers.returnUntilMs = now + returnMs;
+  servers.missingGraceUntilMs = now + returnMs;
 }
 
-/** Notes that another backend server answered at the address of this one. */
+/** Records that another backend server responded at the address of this one. */
 export function noteDisplaced(
   servers: BackendServers,
   id: string,
@@ -87,10 +93,9 @@
 }
 
 /**
- * Takes in what an answer of a backend server states, and gives what is news.
+ * Applies the statements of a response; returns the resulting changes.
  *
- * An answer to a request from before a restart, which arrives after it, says nothing of the new
- * life.
+ * A response to a request from before a restart is ignored if it arrives after the restart.
  */
 export function applyStatement(
   servers: BackendServers,
@@ -101,7 +106,7 @@
   const { id, bornMs } = life;
   const { sentWallMs } = statement;
   const knownBornMs = servers.byId.get(id)?.entry.bornMs ?? bornMs;
-  if (!serverStatements.isAbout({ bornMs, sentWallMs }, knownBornMs)) {
+  if (!serverStatements.isAboutLife({ bornMs, sentWallMs }, knownBornMs)) {
     return [];
   }
   const present = { id, bornMs: knownBornMs };
@@ -111,11 +116,11 @@
 }
 
 /**
- * Tells whether a backend server may get new work.
+ * Returns whether a backend server may receive new work.
  *
- * Decided by the time, not by the next answer of the store: a missing one that did
- * not come back has left, and got work up to a second later while answers came once
- * a second.
+ * The end of the grace period is checked here instead of with the next store response:
+ * responses come once a second, so a missing backend server that had left received work for
+ * up to a second longer.
  */
 function isUsable(
   servers: BackendServers,
@@ -132,7 +137,7 @@
   );
 }
 
-/** Finds the entry of a backend server that may get new work. */
+/** Finds the entry of a backend server that may receive new work. */
 export function findUsable(
   servers: BackendServers,
   id: string,
@@ -142,14 +147,14 @@
   return known !== undefined && isUsable(servers, known, now) ? known.entry : undefined;
 }
 
-/** Lists the ids of all backend servers of a service, those that leave included. */
+/** Lists the ids of all backend servers of a service, including those that are leaving. */
 export function listIds(servers: BackendServers, service: string): string[] {
   return [...servers.byId.values()]
     .filter(({ entry }) => entry.service === service)
     .map(({ entry }) => entry.id);
 }
 
-/** Lists the backend servers of a service that may get new work. */
+/** Lists the backend servers of a service that may receive new work. */
 export function listUsable(
   servers: BackendServers,
   service: string,
--- a/packages/core/src/gateway/belief.test.ts
+++ b/packages/core/src/gateway/belief.test.ts
@@ -6,33 +6,33 @@
 const LEASE_MS = 3000;
 const CONFIRMED = { steadyMs: 1000, wallMs: 50_000, uptimeMs: 9000 };
 
-/** Tells the standing at a reading. */
+/** Returns the lease status at a clock reading. */
 function getStanding(now: belief.ClockReading): belief.Standing {
-  const state = belief.createBelief();
-  belief.noteConfirmed(state, CONFIRMED);
-  return belief.getStanding(state, true, LEASE_MS, now);
+  const lease = belief.createBelief();
+  belief.noteConfirmed(lease, CONFIRMED);
+  return belief.getStanding(lease, true, LEASE_MS, now);
 }
 
-test('lease runs out on the steady clock', () => {
+test('lease expires by the steady clock', () => {
   const at = (ms: number) => ({ steadyMs: 1000 + ms, wallMs: 50_000 + ms, uptimeMs: 9000 + ms });
   assert.equal(getStanding(at(2999)), belief.Standing.CONFIRMED);
   assert.equal(getStanding(at(3001)), belief.Standing.UNCONFIRMED);
 });
 
 test('suspended VM', () => {
-  // A VM is suspended for ten seconds while a key is taken away. Its steady clock
-  // stood still, so that by it the lease would hold; the other clocks went on.
+  // A VM is suspended for ten seconds while a key is revoked. Its steady clock stopped, so
+  // the lease would still hold by that clock alone; the other clocks kept running.
   const now = { steadyMs: 1010, wallMs: 60_010, uptimeMs: 19_010 };
   assert.equal(getStanding(now), belief.Standing.UNCONFIRMED);
 });
 
-test('suspended, time of day set back', () => {
+test('suspended VM with the wall clock set back', () => {
   const now = { steadyMs: 1010, wallMs: 50_010, uptimeMs: 19_010 };
   assert.equal(getStanding(now), belief.Standing.UNCONFIRMED);
 });
 
-test('nothing known', () => {
-  const state = belief.createBelief();
-  assert.equal(belief.getStanding(state, false, LEASE_MS, CONFIRMED), belief.Standing.UNKNOWN);
-  assert.equal(belief.getStanding(state, true, LEASE_MS, CONFIRMED), belief.Standing.UNCONFIRMED);
+test('no configuration or no confirmation', () => {
+  const lease = belief.createBelief();
+  assert.equal(belief.getStanding(lease, false, LEASE_MS, CONFIRMED), belief.Standing.UNKNOWN);
+  assert.equal(belief.getStanding(lease, true, LEASE_MS, CONFIRMED), belief.Standing.UNCONFIRMED);
 });
--- a/packages/core/src/gateway/belief.ts
+++ b/packages/core/src/gateway/belief.ts
@@ -1,58 +1,58 @@
 /**
- * What a gateway may do on what it last learned from the configuration store.
+ * Lease on the configuration that a gateway last read from the store.
  *
- * A credential that is revoked must stop working everywhere within a bound, also
- * at a gateway that cannot reach the store and so cannot hear of it. Each answer
- * of the store therefore grants a lease; once it has run out, requests with a
- * credential are refused as not run. The age is the greatest that any of several
- * clocks shows: the steady clock stands still while a VM is suspended, and the
- * time of day may be set back, but not both by the same amount.
+ * A revoked credential must stop working everywhere within a bounded time, even at a gateway
+ * that cannot reach the store and does not learn of the revocation. Each response of the
+ * store therefore renews a lease; once it has expired, requests with a credential are
+ * rejected as not run. The age of the lease is the greatest that any of several clocks
+ * shows: the steady (monotonic) clock stops while a VM is suspended, and the wall clock may
+ * be set back, but not both by the same amount.
  */
 
-/** One reading of all clocks, milliseconds. */
+/** One reading of all clocks, in milliseconds. */
 export type ClockReading = {
   steadyMs: number;
   wallMs: number;
-  /** Time since the VM started, suspended time included. */
+  /** Time since the VM started, including suspended time. */
   uptimeMs: number;
 };
 
 export type Belief = {
-  /** When the last call that the store answered was sent; undefined before the first. */
+  /** When the last store call that got a response was sent; undefined before the first. */
   confirmed: ClockReading | undefined;
-  /** Since when the store has told an older configuration than a peer has, milliseconds. */
+  /** Since when the store has returned an older configuration than a peer has, in ms. */
   behindSinceMs: number | undefined;
 };
 
 export enum Standing {
-  /** The configuration is known to be fresh enough for everything. */
+  /** The lease holds: all requests are served. */
   CONFIRMED = 'confirmed',
-  /** Only requests that need no credential are served. */
+  /** The lease has expired: only requests that need no credential are served. */
   UNCONFIRMED = 'unconfirmed',
   /** There is no configuration. */
   UNKNOWN = 'unknown',
 }
 
-/** Creates the belief of a process that has heard nothing. */
+/** Creates the lease of a process that has not reached the store yet. */
 export function createBelief(): Belief {
   return { confirmed: undefined, behindSinceMs: undefined };
 }
 
-/** Notes that the store answered a call that was sent at the given reading. */
-export function noteConfirmed(belief: Belief, sent: ClockReading): void {
-  belief.confirmed = sent;
-  belief.behindSinceMs = undefined;
+/** Renews the lease after a response to a store call that was sent at the given reading. */
+export function noteConfirmed(lease: Belief, sent: ClockReading): void {
+  lease.confirmed = sent;
+  lease.behindSinceMs = undefined;
 }
 
-/** Notes that the store tells an older configuration than a peer has: nothing is confirmed. */
-export function noteBehind(belief: Belief, now: number): void {
-  belief.confirmed = undefined;
-  belief.behindSinceMs ??= now;
+/** Ends the lease because the store returns an older configuration than a peer has. */
+export function noteBehind(lease: Belief, now: number): void {
+  lease.confirmed = undefined;
+  lease.behindSinceMs ??= now;
 }
 
-/** Computes the age of the last confirmation, milliseconds. */
-export function computeAge(belief: Belief, now: ClockReading): number {
-  const { confirmed } = belief;
+/** Computes the age of the last confirmation, in milliseconds. */
+export function computeAge(lease: Belief, now: ClockReading): number {
+  const { confirmed } = lease;
   return confirmed === undefined
     ? Infinity
     : Math.max(
@@ -63,13 +63,13 @@
 }
 
 /**
- * Tells what may be served.
+ * Returns which requests may be served.
  *
- * @param leaseMs how long one answer of the store holds; Infinity where revoked
- *   credentials may be served while the store cannot be reached
+ * @param leaseMs lease duration in milliseconds; Infinity if revoked credentials may be
+ *   accepted while the store is unreachable
  */
 export function getStanding(
-  belief: Belief,
+  lease: Belief,
   hasConfiguration: boolean,
   leaseMs: number,
   now: ClockReading,
@@ -77,5 +77,5 @@
   if (!hasConfiguration) {
     return Standing.UNKNOWN;
   }
-  return computeAge(belief, now) <= leaseMs ? Standing.CONFIRMED : Standing.UNCONFIRMED;
+  return computeAge(lease, now) <= leaseMs ? Standing.CONFIRMED : Standing.UNCONFIRMED;
 }
--- a/packages/core/src/gateway/cell-servers.ts
+++ b/packages/core/src/gateway/cell-servers.ts
@@ -1,4 +1,4 @@
-/** What this gateway knows of the backend servers of a cell, for its own scheduler. */
+/** Describes the backend servers of a cell to this gateway's own scheduler. */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as scheduler from '../scheduler/index.js';
 import * as asking from './asking.js';
@@ -8,10 +8,10 @@
 import * as peerView from './peer-view.js';
 import * as warmUpTimes from './warm-up-times.js';
 
-/** Requests a second that one is given at least: with none it would never be used. */
-const LEAST_IN_SECOND = 1;
+/** Minimum request rate during warm-up: with a limit of 0 a backend server would never be used. */
+const MIN_REQUESTS_PER_SECOND = 1;
 
-/** Computes what a backend server of a service bears while it warms up. */
+/** Computes the request limit of a service's backend servers during warm-up. */
 function computeWarmUpLimit(
   traits: configuration.WarmUpTraits | undefined,
   { factor, extra }: gatewayState.WarmUpTolerance,
@@ -19,15 +19,15 @@
   if (traits === undefined) {
     return undefined;
   }
-  const mostInSecond = Math.max(traits.perSecond * factor + extra, LEAST_IN_SECOND);
+  const mostInSecond = Math.max(traits.perSecond * factor + extra, MIN_REQUESTS_PER_SECOND);
   return { ...traits, mostInSecond };
 }
 
 /**
- * Computes the part of the gateways that are heard, this one included. One that has heard
- * nobody yet, though its settings name others, does not know how many give places out.
+ * Computes the share of gateways that are reachable, including this one. It is 0 if no peer has
+ * reported yet although the settings name some: it is then unknown how many gateways grant slots.
  */
-function computeHeardShare(state: gatewayState.GatewayState, now: number): number {
+function computeReachableShare(state: gatewayState.GatewayState, now: number): number {
   const { peers, seeds } = state;
   return peers.byAddress.size === 0 && seeds.length > 0
     ? 0
@@ -35,21 +35,21 @@
 }
 
 /**
- * A backend server is news for this long after it was first seen, milliseconds: the others
- * read the store less often, and lose a call at times.
+ * How long after it was first seen a store entry is sent along with grants, in milliseconds.
+ * The other gateways read the store less often, and some of their calls fail.
  */
-const NEWS_MS = 4000;
+const RECENT_ENTRY_MS = 4000;
 
-/** Lists the entries that other gateways may not have read yet. */
-function listNews(
+/** Lists the store entries that other gateways may not have read yet. */
+function listRecentEntries(
   known: readonly backendServers.KnownServer[],
   now: number,
 ): Map<string, backendServerEntry.BackendServerEntry> {
-  const recent = known.filter(({ firstSeenMs }) => now - firstSeenMs < NEWS_MS);
+  const recent = known.filter(({ firstSeenMs }) => now - firstSeenMs < RECENT_ENTRY_MS);
   return new Map(recent.map(({ entry }) => [entry.id, entry]));
 }
 
-/** Describes what this gateway's own scheduler may give out of a cell. */
+/** Describes the backend servers and slots of a cell that this gateway's scheduler may grant. */
 export function findCellServers(
   state: gatewayState.GatewayState,
   cellName: string,
@@ -66,10 +66,10 @@
     entries,
     tokensPerEvent: declared?.engine?.tokensPerEvent ?? 1,
     placeShare: asking.chooseScheduler(state, cellName, now).placeShare,
-    heardShare: computeHeardShare(state, now),
+    heardShare: computeReachableShare(state, now),
     hasPeers: state.peers.byAddress.size > 0,
     warmUp,
-    news: listNews(known, now),
+    news: listRecentEntries(known, now),
     warmUntilMs: warmUpTimes.listWarming(state.servers, known, state.index, now),
   };
 }
--- a/packages/core/src/gateway/configuration-index.ts
+++ b/packages/core/src/gateway/configuration-index.ts
@@ -1,29 +1,29 @@
-/** A configuration with its lookups, built once for each version. */
+/** A configuration with its lookup tables, built once per version. */
 import type * as configuration from './configuration.js';
 
 export type ConfigurationIndex = {
   configuration: configuration.Configuration;
-  /** Routes of a host, the longest prefix first. */
+  /** Routes of each host, longest prefix first. */
   routesByHost: Map<string, configuration.Route[]>;
   serviceByName: Map<string, configuration.ServiceDeclaration>;
-  /** Undefined where callers need no credentials. */
+  /** Undefined if callers need no credentials. */
   workspaceByCredential: Map<string, configuration.WorkspaceDeclaration> | undefined;
   /** Workspaces with a quota. */
   quotaByWorkspace: Map<string, configuration.Quota>;
 };
 
-/** Builds the routes of each host in the order in which they are tried. */
+/** Groups routes by host, in matching order. */
 function buildRoutes(routes: readonly configuration.Route[]): Map<string, configuration.Route[]> {
   const byHost = new Map<string, configuration.Route[]>();
   routes.forEach((route) => {
     const host = route.hostname.toLowerCase();
     byHost.set(host, [...(byHost.get(host) ?? []), route]);
   });
-  byHost.forEach((ofHost) => ofHost.sort((a, b) => b.prefix.length - a.prefix.length));
+  byHost.forEach((hostRoutes) => hostRoutes.sort((a, b) => b.prefix.length - a.prefix.length));
   return byHost;
 }
 
-/** Builds the lookups of a configuration. */
+/** Builds the lookup tables of a configuration. */
 export function buildConfigurationIndex(given: configuration.Configuration): ConfigurationIndex {
   const { workspaces } = given;
   const credentials = workspaces?.flatMap((workspace) =>
@@ -41,7 +41,7 @@
   };
 }
 
-/** Finds the route of a request: the longest prefix among those of its host. */
+/** Finds the route of a request: the one with the longest matching prefix for its host. */
 export function findRoute(
   index: ConfigurationIndex,
   host: string,
@@ -52,15 +52,15 @@
 }
 
 /**
- * Chooses the service of a request among the targets of its route.
+ * Chooses the service of a request among the weighted targets of its route.
  *
- * @param draw a number from 0 to 1, the same for all tries of one request
+ * @param draw a random number from 0 to 1, the same for all attempts of one request
  */
 export function chooseService(route: configuration.Route, draw: number): string | undefined {
-  const open = route.targets.filter((target) => target.weight > 0);
-  const total = open.reduce((sum, target) => sum + target.weight, 0);
+  const weighted = route.targets.filter((target) => target.weight > 0);
+  const total = weighted.reduce((sum, target) => sum + target.weight, 0);
   let left = draw * total;
-  return open.find((target) => {
+  return weighted.find((target) => {
     left -= target.weight;
     return left < 0;
   })?.service;
--- a/packages/core/src/gateway/configuration.ts
+++ b/packages/core/src/gateway/configuration.ts
@@ -1,16 +1,16 @@
-/** The declared configuration of a gateway, as the product sees it. */
+/** The configuration of a gateway, independent of the format in which the store holds it. */
 
-/** What may be repeated, and in which form the answer comes. */
+/** Whether requests may be repeated, and in which form the response comes. */
 export enum RouteKind {
-  /** Idempotent; may run more than once. */
+  /** Idempotent: may run more than once. */
   SAFE = 'safe',
   /** Runs at most once. */
   UNSAFE = 'unsafe',
-  /** Answered by a stream of events; idempotent only where it is resumable. */
+  /** Responds with a stream of events; idempotent only if the route is resumable. */
   STREAM = 'stream',
 }
 
-/** A service that a route sends to, and its share of the traffic. */
+/** A service that a route sends requests to, and its relative share of the traffic. */
 export type RouteTarget = { service: string; weight: number };
 
 export type Route = {
@@ -19,82 +19,83 @@
   /** Begins and ends with a slash. */
   prefix: string;
   kind: RouteKind;
-  /** Longest time a request may be kept, milliseconds. */
+  /** Maximum total time of a request, in milliseconds. */
   timeoutMs: number;
-  /** Time within which an answer is on time, milliseconds. */
+  /** Latency target: a response that begins within this time is on time, in milliseconds. */
   targetMs: number;
-  /** Time that callers wait for a first part of an answer, milliseconds. */
+  /** How long callers wait for the first part of a response, in milliseconds. */
   patienceMs: number;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   urgency: number;
   targets: RouteTarget[];
-  /** Runs of one request, at most. */
+  /** Maximum number of attempts per request. */
   maxAttempts: number;
-  /** Served without a credential. */
+  /** Requests need no credential. */
   isPublic: boolean;
-  /** A broken stream may go on at another backend server. */
+  /** An interrupted stream may be continued by another backend server. */
   resumable: boolean;
   /** Regions in which its requests may be served; empty for any. */
   regions: string[];
 };
 
-/** What a service says of its engines; undefined for a plain service. */
+/** Properties of a service's inference engines. */
 export type EngineTraits = {
-  /** Requests that an engine works on at once. */
+  /** Maximum number of requests that an engine processes concurrently. */
   slots: number;
-  /** Tokens that one event of a stream holds. */
+  /** Number of tokens in one stream event. */
   tokensPerEvent: number;
 };
 
-/** What backend servers of a service bear while they warm up. */
+/** How long the backend servers of a service warm up, and their request rate meanwhile. */
 export type WarmUpTraits = {
-  /** Time from the start on, milliseconds. */
+  /** Duration of the warm-up after a start, in milliseconds. */
   durationMs: number;
-  /** Requests a second, from all gateways together. */
+  /** Maximum requests per second, over all gateways together. */
   perSecond: number;
 };
 
 export type ServiceDeclaration = {
   name: string;
-  /** Connections that one backend server accepts from all callers together. */
+  /** Maximum connections that one backend server accepts from all callers together. */
   maxConnections: number;
+  /** Undefined for a plain service, which has no engines. */
   engine: EngineTraits | undefined;
-  /** Undefined where its backend servers bear their full load from the start on. */
+  /** Undefined if its backend servers can take full load right after a start. */
   warmUp: WarmUpTraits | undefined;
 };
 
-/** What a quota counts. */
+/** The unit that a quota counts. */
 export enum QuotaUnit {
   REQUESTS = 'requests',
   TOKENS = 'tokens',
 }
 
-/** Limit of a workspace over all gateways together. */
+/** Rate limit of a workspace, over all gateways together. */
 export type Quota = {
   unit: QuotaUnit;
   perSecond: number;
   burst: number;
-  /** Tokens of a request that does not say how many it needs. */
+  /** Tokens charged for a request that does not state how many it needs. */
   defaultTokens: number;
 };
 
 export type WorkspaceDeclaration = {
   name: string;
   credentials: string[];
-  /** Goes before the urgency of the route; undefined where it is not set. */
+  /** Overrides the urgency of the route; undefined if not set. */
   urgency: number | undefined;
-  /** Undefined where the workspace has no limit. */
+  /** Undefined if the workspace has no quota. */
   quota: Quota | undefined;
   /** Regions in which its requests may be served; empty for any. */
   regions: string[];
 };
 
-/** What a caller may send, and how long it may take. */
+/** Limits on what a caller may send and how long it may take. */
 export type CallerBounds = {
   maxHeaderBytes: number;
   maxBodyBytes: number;
   headerTimeoutMs: number;
-  /** Kept connections may be idle this long, milliseconds. */
+  /** Maximum idle time of a kept-alive connection, in milliseconds. */
   idleTimeoutMs: number;
 };
 
@@ -102,7 +103,7 @@
   version: number;
   routes: Route[];
   services: ServiceDeclaration[];
-  /** Undefined where callers need no credentials. */
+  /** Undefined if callers need no credentials. */
   workspaces: WorkspaceDeclaration[] | undefined;
   callerBounds: CallerBounds;
 };
--- a/packages/core/src/gateway/evacuation-changes.ts
+++ b/packages/core/src/gateway/evacuation-changes.ts
@@ -1,22 +1,22 @@
-/** Which backend servers operators have had evacuated with their failure domains. */
+/** Applies evacuations of failure domains to the backend servers in them. */
 import type * as storeRevision from '../shared/store-revision.js';
 import type * as backendServers from './backend-servers.js';
 import * as evacuations from './evacuations.js';
 
-/** Takes in changes of what is evacuated; gives those that are news. */
+/** Applies changes of evacuations; returns those that took effect. */
 export function applyEvacuations(
   servers: backendServers.BackendServers,
   changes: readonly evacuations.EvacuationChange[],
   now: number,
 ): evacuations.EvacuationChange[] {
-  const news = changes
+  const applied = changes
     .map((change) => evacuations.applyEvacuation(servers.evacuations, change, now))
     .filter((change) => change !== undefined);
-  servers.revision += news.length;
-  return news;
+  servers.revision += applied.length;
+  return applied;
 }
 
-/** Takes in all evacuations, as they were at a revision of the store or later. */
+/** Applies the list of all evacuations, read at the given store revision or later. */
 export function applyEvacuationList(
   servers: backendServers.BackendServers,
   listed: readonly evacuations.EvacuationChange[],
@@ -24,14 +24,14 @@
   now: number,
 ): evacuations.EvacuationChange[] {
   if (revision.epoch > servers.readRevision.epoch) {
-    evacuations.holdUntold(servers.evacuations, listed, now);
+    evacuations.holdUnlisted(servers.evacuations, listed, now);
     return applyEvacuations(servers, listed, now);
   }
   const ended = evacuations.listEnded(servers.evacuations, listed, revision);
   return applyEvacuations(servers, [...listed, ...ended], now);
 }
 
-/** Ends evacuations that the store has not told of again in time. */
+/** Ends evacuations that were missing from a restored store and not written again in time. */
 export function expireEvacuations(
   servers: backendServers.BackendServers,
   now: number,
@@ -40,13 +40,14 @@
   return applyEvacuations(servers, ended, now);
 }
 
-/** Tells whether a service has backend servers, all of them in evacuated domains. */
+/** Returns whether a service has backend servers and all of them are in evacuated domains. */
 export function isServiceEvacuated(
   servers: backendServers.BackendServers,
   service: string,
 ): boolean {
-  // Asked for each request; a fleet has thousands of backend servers, and rarely this.
-  if (!evacuations.isAnyEvacuated(servers.evacuations)) {
+  // Called for each request: skip the search through thousands of backend servers if nothing
+  // is evacuated, which is nearly always the case.
+  if (!evacuations.hasEvacuations(servers.evacuations)) {
     return false;
   }
   const inUse = [...servers.byId.values()].filter(
--- a/packages/core/src/gateway/evacuations.test.ts
+++ b/packages/core/src/gateway/evacuations.test.ts
@@ -6,12 +6,12 @@
 const { test } = nodeTest;
 const { buildRevision } = gatewayBench;
 
-/** Builds the word that a failure domain is evacuated, or taken back. */
+/** Builds a change that starts or ends the evacuation of the failure domain. */
 function buildChange(count: number, isEvacuated: boolean): evacuations.EvacuationChange {
   return { failureDomain: 'd1', isEvacuated, revision: buildRevision(count) };
 }
 
-test('evacuated and taken back', () => {
+test('evacuated and returned to service', () => {
   const known = evacuations.createEvacuations();
   assert.ok(evacuations.applyEvacuation(known, buildChange(5, true), 10));
   assert.equal(evacuations.isEvacuated(known, 'd1'), true);
@@ -19,13 +19,13 @@
   assert.equal(evacuations.applyEvacuation(known, buildChange(6, true), 20), undefined);
   assert.ok(evacuations.applyEvacuation(known, buildChange(7, false), 30));
   assert.equal(evacuations.isEvacuated(known, 'd1'), false);
-  assert.deepEqual(evacuations.findReturn(known, 'd1'), { atMs: 30, revision: buildRevision(7) });
+  assert.deepEqual(evacuations.findDomainReturn(known, 'd1'), { atMs: 30, revision: buildRevision(7) });
 });
 
-test('older word that comes late', () => {
-  // Operators have a domain evacuated, take it back and have it evacuated again. The store
-  // has dropped its history, and the items are listed page by page: the older changes are
-  // read after the last one. Taken in, work would go to a domain that is evacuated.
+test('older change that is read late', () => {
+  // Operators evacuate a domain, return it to service and evacuate it again. The store has
+  // compacted its history and lists its items page by page, so the older changes are read
+  // after the latest one. If they were applied, requests would go to an evacuated domain.
   const known = evacuations.createEvacuations();
   evacuations.applyEvacuation(known, buildChange(9, true), 0);
   assert.equal(evacuations.applyEvacuation(known, buildChange(7, false), 1), undefined);
@@ -38,7 +38,7 @@
   assert.equal(evacuations.isEvacuated(known, 'd1'), false);
 });
 
-test('list without a domain takes it back', () => {
+test('list without a domain ends its evacuation', () => {
   const known = evacuations.createEvacuations();
   evacuations.applyEvacuation(known, buildChange(9, true), 0);
   assert.deepEqual(evacuations.listEnded(known, [buildChange(9, true)], buildRevision(10)), []);
@@ -47,7 +47,7 @@
   assert.equal(evacuations.isEvacuated(known, 'd1'), false);
 });
 
-test('list that is older than what is known', () => {
+test('list that is older than the known evacuation', () => {
   const known = evacuations.createEvacuations();
   evacuations.applyEvacuation(known, buildChange(9, true), 0);
   const [ended] = evacuations.listEnded(known, [], buildRevision(8));
--- a/packages/core/src/gateway/evacuations.ts
+++ b/packages/core/src/gateway/evacuations.ts
@@ -1,45 +1,45 @@
 /**
- * Which failure domains operators have had evacuated: nothing new is sent there.
+ * Failure domains that operators have evacuated: they receive no new requests.
  *
- * Each change carries the revision of the store at which it was made. An older one that
- * is read late, from a list of several pages or after a lost history, changes nothing.
+ * Each change carries the store revision at which it was made. An older change that is read
+ * late, from a paged list or after the store's history was compacted, is ignored.
  */
 import * as storeRevision from '../shared/store-revision.js';
 
 type Evacuation = {
   isEvacuated: boolean;
-  /** Revision of the last change. */
+  /** Store revision of the last change. */
   revision: storeRevision.StoreRevision;
-  /** When that change was read, milliseconds. */
+  /** When that change was read, in milliseconds. */
   changedMs: number;
-  /** Ends at this time unless it is told again, milliseconds. */
+  /** The evacuation ends at this time unless it is read again, in milliseconds. */
   heldUntilMs: number;
 };
 
 export type Evacuations = { byDomain: Map<string, Evacuation> };
 
-/** A change of what is evacuated, for the log. */
+/** The start or end of an evacuation; also logged. */
 export type EvacuationChange = {
   failureDomain: string;
   isEvacuated: boolean;
   revision: storeRevision.StoreRevision;
 };
 
-/** When a failure domain was taken back into use, and at which revision of the store. */
+/** When a failure domain was returned to service, and at which store revision. */
 export type DomainReturn = { atMs: number; revision: storeRevision.StoreRevision };
 
 /**
- * A store that has been restored from an older backup may not tell of an evacuation any more. It
- * is held for this time, milliseconds, in which operators write again what was lost.
+ * How long an evacuation stays active if it is missing from a store restored from an older backup,
+ * in milliseconds. Operators write lost evacuations again within this time.
  */
-const HELD_MS = 6000;
+const RESTORED_HOLD_MS = 6000;
 
-/** Creates evacuations of nothing. */
+/** Creates an empty set of evacuations. */
 export function createEvacuations(): Evacuations {
   return { byDomain: new Map() };
 }
 
-/** Takes in one change; gives it where it is news. */
+/** Applies one change; returns it if it took effect. */
 export function applyEvacuation(
   { byDomain }: Evacuations,
   change: EvacuationChange,
@@ -67,9 +67,9 @@
 }
 
 /**
- * Lists the ends of evacuations that a list of all of them does not name.
+ * Lists the changes that end evacuations which a complete list no longer contains.
  *
- * @param revision of the store, at which or after which the list was made
+ * @param revision store revision at which, or after which, the list was read
  */
 export function listEnded(
   { byDomain }: Evacuations,
@@ -82,38 +82,41 @@
     .map((failureDomain) => ({ failureDomain, isEvacuated: false, revision }));
 }
 
-/** Holds evacuations that a store which has been restored from an older backup does not tell of. */
-export function holdUntold(
+/** Holds evacuations for a time if they are missing from a store restored from a backup. */
+export function holdUnlisted(
   { byDomain }: Evacuations,
   listed: readonly EvacuationChange[],
   now: number,
 ): void {
-  const told = new Set(listed.map(({ failureDomain }) => failureDomain));
+  const listedDomains = new Set(listed.map(({ failureDomain }) => failureDomain));
   byDomain.forEach((known, failureDomain) => {
-    if (known.isEvacuated && !told.has(failureDomain)) {
-      known.heldUntilMs = now + HELD_MS;
+    if (known.isEvacuated && !listedDomains.has(failureDomain)) {
+      known.heldUntilMs = now + RESTORED_HOLD_MS;
     }
   });
 }
 
-/** Lists the ends of evacuations that were held and not told again in time. */
+/** Lists the changes that end evacuations whose hold time is over. */
 export function listExpired(
   { byDomain }: Evacuations,
   revision: storeRevision.StoreRevision,
   now: number,
 ): EvacuationChange[] {
   return [...byDomain]
-    .filter(([, { isEvacuated: isHeld, heldUntilMs }]) => isHeld && now >= heldUntilMs)
+    .filter(([, { isEvacuated: isActive, heldUntilMs }]) => isActive && now >= heldUntilMs)
     .map(([failureDomain]) => ({ failureDomain, isEvacuated: false, revision }));
 }
 
-/** Tells whether nothing new may be sent to a failure domain. */
+/** Returns whether a failure domain is evacuated. */
 export function isEvacuated({ byDomain }: Evacuations, failureDomain: string): boolean {
   return byDomain.get(failureDomain)?.isEvacuated === true;
 }
 
-/** Finds when a failure domain was taken back; undefined where it was not evacuated. */
-export function findReturn(
+/**
+ * Finds when a failure domain was returned to service; undefined if it never was evacuated or
+ * still is.
+ */
+export function findDomainReturn(
   { byDomain }: Evacuations,
   failureDomain: string,
 ): DomainReturn | undefined {
@@ -123,8 +126,8 @@
     : { atMs: known.changedMs, revision: known.revision };
 }
 
-/** Tells whether any failure domain is evacuated. */
-export function isAnyEvacuated({ byDomain }: Evacuations): boolean {
+/** Returns whether any failure domain is evacuated. */
+export function hasEvacuations({ byDomain }: Evacuations): boolean {
   return [...byDomain.values()].some((one) => one.isEvacuated);
 }
 
--- a/packages/core/src/gateway/fleet-split.test.ts
+++ b/packages/core/src/gateway/fleet-split.test.ts
@@ -3,35 +3,36 @@
 import * as scheduler from '../scheduler/index.js';
 import * as backendServers from './backend-servers.js';
 import * as serverEntries from './server-entries.js';
-import * as fleetSplit from './fleet-split.js';
+import * as fleetSplit from './fleet-cellMap.js';
 import * as gatewayBench from './mocks/gateway-bench.js';
 
 const { test } = nodeTest;
 const SERVICE = 'one';
 
-/** Takes in the entries of some backend servers. */
+/** Adds the store entries of several backend servers. */
 function addServers(servers: backendServers.BackendServers, from: number, until: number): void {
   Array.from({ length: until - from }, (_, index) =>
     serverEntries.applyEntry(servers, gatewayBench.buildEntry(`server-${from + index}`), 0),
   );
 }
 
-/** Lists the cells of all backend servers, worked out without anything kept. */
-function listAnew(servers: backendServers.BackendServers): Map<string, string> {
+/** Computes the cells of all backend servers without a cache. */
+function computeUncached(servers: backendServers.BackendServers): Map<string, string> {
   const ids = backendServers.listIds(servers, SERVICE);
   const cellNames = scheduler.listCellNames(SERVICE, ids.length);
   return new Map(ids.map((id) => [id, scheduler.findCell(cellNames, id)]));
 }
 
-test('cells that are kept are those that would be found', () => {
-  // Backend servers come and go, and with them the number of cells. Two gateways that have
-  // seen different numbers in between must find the same cells, or a cell has two lines.
+test('cached cells match freshly computed ones', () => {
+  // Backend servers come and go, and the number of cells changes with them. Two gateways that
+  // saw different intermediate numbers must compute the same cells; otherwise one cell would
+  // have two queues.
   const servers = backendServers.createBackendServers();
-  const split = fleetSplit.createFleetSplit();
+  const cellMap = fleetSplit.createFleetSplit();
   const expectSame = () =>
     assert.deepEqual(
-      fleetSplit.getServiceSplit(split, servers, SERVICE, 0).cellByServer,
-      listAnew(servers),
+      fleetSplit.getServiceSplit(cellMap, servers, SERVICE, 0).cellByServer,
+      computeUncached(servers),
     );
   addServers(servers, 0, 200);
   expectSame();
--- a/packages/core/src/gateway/fleet-split.ts
+++ b/packages/core/src/gateway/fleet-split.ts
@@ -1,4 +1,4 @@
-/** Which cell each backend server is in, as this gateway knows them now. */
+/** Maps each backend server that this gateway knows to its cell. */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as scheduler from '../scheduler/index.js';
 import * as backendServers from './backend-servers.js';
@@ -6,44 +6,45 @@
 /** The cells of one service. */
 export type ServiceSplit = {
   cellNames: string[];
-  /** By the id of the backend server; those that are leaving included. */
+  /** Cell names by backend server id, including those that are leaving. */
   cellByServer: Map<string, string>;
-  /** Those that may get new work, by cell. */
+  /** Backend servers that may receive new work, by cell name. */
   usableByCell: Map<string, backendServerEntry.BackendServerEntry[]>;
 };
 
-/** Cells that backend servers were found in, while their service had so many cells. */
-type KnownCells = { cells: number; byServer: ReadonlyMap<string, string> };
+/** Cells of backend servers, computed for a given number of cells. */
+type CellCache = { cells: number; byServer: ReadonlyMap<string, string> };
 
 export type FleetSplit = {
   computedMs: number;
   revision: number;
   byService: Map<string, ServiceSplit>;
-  /** By service. */
-  knownCells: Map<string, KnownCells>;
+  /** Caches by service. */
+  cellCaches: Map<string, CellCache>;
 };
 
 /**
- * The split is used for this long, milliseconds, where no entry changes: entries that
- * were missing run out by time. Whether a backend server may get work is checked once
- * more when a request is sent.
+ * How long the map is used if no store entry changes, in milliseconds. It must be recomputed
+ * from time to time because missing entries expire by time. Whether a backend server may
+ * receive work is checked once more when a request is sent.
  */
-const SPLIT_MS = 200;
+const MAX_AGE_MS = 200;
 
-/** Creates a split that is worked out at its first use. */
+/** Creates a map that is computed at its first use. */
 export function createFleetSplit(): FleetSplit {
-  return { computedMs: -Infinity, revision: -1, byService: new Map(), knownCells: new Map() };
+  return { computedMs: -Infinity, revision: -1, byService: new Map(), cellCaches: new Map() };
 }
 
 /**
- * Finds the cells of some backend servers.
+ * Finds the cells of backend servers.
  *
- * Those found before are kept while the number of cells stays. A service of thousands has
- * dozens of cells, each of which is hashed for each backend server: done anew with every
- * change of an entry, that takes all of the processor, and callers wait for seconds.
+ * Results are cached as long as the number of cells stays the same. A service with thousands
+ * of backend servers has dozens of cells, and each backend server is hashed with each cell:
+ * recomputing this with every change of a store entry takes all of the processor, and callers
+ * wait for seconds.
  */
 function findCells(
-  known: KnownCells | undefined,
+  known: CellCache | undefined,
   cellNames: readonly string[],
   ids: readonly string[],
 ): Map<string, string> {
@@ -51,17 +52,17 @@
   return new Map(ids.map((id) => [id, found?.get(id) ?? scheduler.findCell(cellNames, id)]));
 }
 
-/** Splits the backend servers of a service. */
-function buildServiceSplit(
-  split: FleetSplit,
+/** Assigns the backend servers of a service to cells. */
+function buildServiceCells(
+  cellMap: FleetSplit,
   servers: backendServers.BackendServers,
   service: string,
   now: number,
 ): ServiceSplit {
   const ids = backendServers.listIds(servers, service);
   const cellNames = scheduler.listCellNames(service, ids.length);
-  const cellByServer = findCells(split.knownCells.get(service), cellNames, ids);
-  split.knownCells.set(service, { cells: cellNames.length, byServer: cellByServer });
+  const cellByServer = findCells(cellMap.cellCaches.get(service), cellNames, ids);
+  cellMap.cellCaches.set(service, { cells: cellNames.length, byServer: cellByServer });
   const usableByCell = new Map<string, backendServerEntry.BackendServerEntry[]>(
     cellNames.map((name) => [name, []]),
   );
@@ -71,7 +72,7 @@
   return { cellNames, cellByServer, usableByCell };
 }
 
-/** Finds the cell of a backend server, as the split was worked out last. */
+/** Finds the cell of a backend server in the map as last computed. */
 export function findCellOf(
   { byService }: FleetSplit,
   service: string,
@@ -80,19 +81,19 @@
   return byService.get(service)?.cellByServer.get(serverId);
 }
 
-/** Gets the cells of a service. */
+/** Returns the cells of a service. */
 export function getServiceSplit(
-  split: FleetSplit,
+  cellMap: FleetSplit,
   servers: backendServers.BackendServers,
   service: string,
   now: number,
 ): ServiceSplit {
-  if (split.revision !== servers.revision || now - split.computedMs > SPLIT_MS) {
-    split.revision = servers.revision;
-    split.computedMs = now;
-    split.byService.clear();
+  if (cellMap.revision !== servers.revision || now - cellMap.computedMs > MAX_AGE_MS) {
+    cellMap.revision = servers.revision;
+    cellMap.computedMs = now;
+    cellMap.byService.clear();
   }
-  const known = split.byService.get(service) ?? buildServiceSplit(split, servers, service, now);
-  split.byService.set(service, known);
+  const known = cellMap.byService.get(service) ?? buildServiceCells(cellMap, servers, service, now);
+  cellMap.byService.set(service, known);
   return known;
 }
--- a/packages/core/src/gateway/peer-view.ts
+++ b/packages/core/src/gateway/peer-view.ts
@@ -1,25 +1,25 @@
 /**
- * What the other gateways have told.
+ * The other gateways, as known from their reports.
  *
- * Reports carry totals since the start of the sender's life, so that a lost or
- * doubled datagram does no harm: the next one makes up for it.
+ * Reports carry totals since the start of the sender's process, so a lost or duplicated
+ * datagram does no harm: the next report corrects it.
  */
 
 export type PeerReport = {
-  /** Address of the sender, IP and port. */
+  /** IP address and port of the sender. */
   address: string;
-  /** New with each start of the sender. */
+  /** Identifies the sender's incarnation; new with each start of its process. */
   life: string;
   sequence: number;
-  /** The sender is leaving and will send nothing more. */
+  /** The sender is leaving and sends no more reports. */
   leaving: boolean;
-  /** Tokens or requests admitted since the start, by workspace. */
+  /** Tokens or requests admitted since the sender's start, by workspace. */
   used: Map<string, number>;
-  /** Processor time that the sender may use, in hundredths of a core. */
+  /** Processor time available to the sender, in hundredths of a core. */
   processorPercent: number;
-  /** Version of the configuration in force there; 0 where there is none. */
+  /** Version of the active configuration of the sender; 0 if it has none. */
   configurationVersion: number;
-  /** Other gateways that the sender hears. */
+  /** Addresses of other gateways from which the sender receives reports. */
   peers: string[];
 };
 
@@ -29,65 +29,66 @@
   heardMs: number;
   used: Map<string, number>;
   processorPercent: number;
-  /** The version of its last report, and when this life first told of it, milliseconds. */
+  /** The version in its last report, and when this incarnation first reported it, in ms. */
   configurationVersion: number;
-  versionHeardMs: number;
+  versionReportedMs: number;
 };
 
 export type PeerView = {
   byAddress: Map<string, Peer>;
-  /** Gateways that only a peer has heard, with the time of that; they get reports too. */
-  hearsay: Map<string, number>;
-  /** Lives that have said that they leave, with the time of that. */
+  /** When a peer last named each gateway in a report; they are sent reports too. */
+  indirectPeers: Map<string, number>;
+  /** When each incarnation that is leaving announced it. */
   departed: Map<string, number>;
-  /** Goes up with each gateway that comes or goes. */
+  /** Incremented whenever a gateway is added or leaves. */
   revision: number;
 };
 
 /**
- * Time between reports, milliseconds. Quotas are charged with what they tell: five a
- * second keep what gateways admit without knowing of each other within the tolerance.
+ * Time between reports, in milliseconds. Quotas are charged with the usage in reports: five
+ * reports per second keep what gateways admit without knowing of each other within the
+ * tolerance.
  */
 export const REPORT_MS = 200;
-/** Peers that one round is sent to; 16 times five datagrams of 1 KB are 80 KB/s. */
+/** Number of peers that a round of reports goes to: 16 times five 1 KB datagrams are 80 KB/s. */
 export const MAX_FAN_OUT = 16;
-/** A report is believed for this long at least, milliseconds: five rounds. */
-const MIN_FRESH_MS = 1000;
-/** The same in turns of all peers, where one round does not reach all of them. */
-const FRESH_TURNS = 3;
+/** A peer is reachable for at least this time after a report, in milliseconds: five rounds. */
+const MIN_REACHABLE_MS = 1000;
+/** The same in full passes over all peers, if one round does not reach all of them. */
+const REACHABLE_PASSES = 3;
 /**
- * A silent peer keeps its share of quotas for this long, milliseconds. It may
- * serve on behind a partition, which the users' platform has for minutes.
+ * How long an unreachable peer keeps its share of quotas, in milliseconds. It may still be
+ * serving behind a network partition; on the users' platform these last for minutes.
  */
-const REMEMBER_MS = 60_000;
-/** What a peer has only heard of is kept for this long, milliseconds. */
-const HEARSAY_MS = 5000;
+const UNREACHABLE_PEER_RETENTION_MS = 60_000;
+/** How long a gateway is kept that was only named by a peer, in milliseconds. */
+const INDIRECT_PEER_RETENTION_MS = 5000;
 
 /**
- * A peer is young for this long after its start, milliseconds: the window over which
- * the users' quotas hold. It sends a report each `REPORT_MS`, numbered from its start.
+ * How long after its start a peer counts as new, in milliseconds: the window over which the
+ * users' quotas are enforced. A peer sends a report every `REPORT_MS`, numbered from its start.
  */
-const YOUNG_MS = 8000;
+const NEW_PEER_MS = 8000;
 
-/** Creates a view of nobody. */
+/** Creates an empty view. */
 export function createPeerView(): PeerView {
-  return { byAddress: new Map(), hearsay: new Map(), departed: new Map(), revision: 0 };
+  return { byAddress: new Map(), indirectPeers: new Map(), departed: new Map(), revision: 0 };
 }
 
-/** What a workspace has newly used, as a report tells. */
-export type UseIncrease = { workspace: string; amount: number };
+/** Usage of a workspace that a report adds. */
+export type UsageIncrease = { workspace: string; amount: number };
 
 /**
- * Lists what a report adds to what was known of its sender.
+ * Lists the usage that a report adds to what was known of its sender.
  *
- * The first report of a peer that has run for long adds nothing: its totals may be
- * hours old, and a gateway that has just started would refuse everybody until they are
- * paid off. All that a young one has used is recent and counts. Otherwise, after all
- * gateways were killed, what each admitted until it had heard the others would never be
- * charged, and a workspace would run more than its quota allows.
+ * The first report of a peer that has run for long adds nothing: its totals may be hours old,
+ * and a gateway that has just started would reject all requests until they are paid off. All
+ * usage of a new peer is recent and counts. Otherwise, after all gateways were killed, what
+ * each of them admitted before it received the others' reports would never be charged, and a
+ * workspace would run more than its quota allows.
  */
-function listIncreases(known: Peer | undefined, report: PeerReport): UseIncrease[] {
-  if (known === undefined && report.sequence * REPORT_MS > YOUNG_MS) {
+function listIncreases(known: Peer | undefined, report: PeerReport): UsageIncrease[] {
+  if (known === undefined && report.sequence * REPORT_MS > NEW_PEER_MS) {
     return [];
   }
   const before = known?.life === report.life ? known.used : undefined;
@@ -97,18 +98,20 @@
   }));
 }
 
-/** Names a life of a gateway. */
-function formatLife({ address, life }: PeerReport): string {
+/** Formats the key of one incarnation of a gateway. */
+function formatLifeKey({ address, life }: PeerReport): string {
   return `${address} ${life}`;
 }
 
 /**
- * Takes in a report; an older one than the last is left out, and so is what a gateway
- * tells after it has said that it leaves: taken for a newcomer, a young one would be
- * charged with all that it has admitted once more with each report.
+ * Applies a report; returns the usage that it adds.
+ *
+ * A report older than the last one of its sender is ignored. So is one that arrives after its
+ * sender has announced that it is leaving: otherwise a recently started sender would count as a
+ * new peer, and all that it has admitted would be charged again with each such report.
  */
-export function applyReport(view: PeerView, report: PeerReport, now: number): UseIncrease[] {
-  if (view.departed.has(formatLife(report))) {
+export function applyReport(view: PeerView, report: PeerReport, now: number): UsageIncrease[] {
+  if (view.departed.has(formatLifeKey(report))) {
     return [];
   }
   const known = view.byAddress.get(report.address);
@@ -120,7 +123,7 @@
     view.revision += 1;
   }
   if (report.leaving) {
-    view.departed.set(formatLife(report), now);
+    view.departed.set(formatLifeKey(report), now);
     view.byAddress.delete(report.address);
     return increases;
   }
@@ -134,85 +137,85 @@
     used,
     processorPercent,
     configurationVersion,
-    versionHeardMs: isSameVersion ? known.versionHeardMs : now,
+    versionReportedMs: isSameVersion ? known.versionReportedMs : now,
   });
   return increases;
 }
 
-/** Tells whether this life of a peer has been heard. */
+/** Returns whether the last report of a peer came from the given incarnation. */
 export function isKnownLife(view: PeerView, address: string, life: string): boolean {
   return view.byAddress.get(address)?.life === life;
 }
 
-/** Forgets peers that have been silent for long. */
+/** Removes peers that have been unreachable for too long. */
 export function expirePeers(view: PeerView, now: number): void {
   [...view.byAddress]
-    .filter(([, peer]) => now - peer.heardMs > REMEMBER_MS)
+    .filter(([, peer]) => now - peer.heardMs > UNREACHABLE_PEER_RETENTION_MS)
     .forEach(([address]) => view.byAddress.delete(address));
   [...view.departed]
-    .filter(([, leftMs]) => now - leftMs > REMEMBER_MS)
+    .filter(([, leftMs]) => now - leftMs > UNREACHABLE_PEER_RETENTION_MS)
     .forEach(([life]) => view.departed.delete(life));
-  [...view.hearsay]
-    .filter(([, heardMs]) => now - heardMs > HEARSAY_MS)
-    .forEach(([address]) => view.hearsay.delete(address));
+  [...view.indirectPeers]
+    .filter(([, heardMs]) => now - heardMs > INDIRECT_PEER_RETENTION_MS)
+    .forEach(([address]) => view.indirectPeers.delete(address));
 }
 
-/** Finds the newest version of the configuration that a peer told of before a time; 0 for none. */
-export function findNewestVersion(view: PeerView, heardBeforeMs: number): number {
+/** Finds the newest configuration version that a peer reported before a given time; 0 if none. */
+export function findNewestVersion(view: PeerView, reportedBeforeMs: number): number {
   return [...view.byAddress.values()].reduce(
-    (newest, { configurationVersion, versionHeardMs }) =>
-      versionHeardMs < heardBeforeMs ? Math.max(newest, configurationVersion) : newest,
+    (newest, { configurationVersion, versionReportedMs }) =>
+      versionReportedMs < reportedBeforeMs ? Math.max(newest, configurationVersion) : newest,
     0,
   );
 }
 
-/** Counts the gateways, this one included, that may be serving. */
+/** Counts the gateways that may be serving, including this one. */
 export function countGateways(view: PeerView): number {
   return view.byAddress.size + 1;
 }
 
-/** Computes how long a report is believed, milliseconds. */
-function computeFreshMs(view: PeerView): number {
-  const turnMs = REPORT_MS * Math.ceil(view.byAddress.size / MAX_FAN_OUT);
-  return Math.max(MIN_FRESH_MS, FRESH_TURNS * turnMs);
+/** Computes how long a peer is reachable after a report, in milliseconds. */
+function computeReachableMs(view: PeerView): number {
+  const passMs = REPORT_MS * Math.ceil(view.byAddress.size / MAX_FAN_OUT);
+  return Math.max(MIN_REACHABLE_MS, REACHABLE_PASSES * passMs);
 }
 
-/** Lists the peers whose last report is believed, by address. */
-function listFresh(view: PeerView, now: number): [string, Peer][] {
-  const freshMs = computeFreshMs(view);
-  return [...view.byAddress].filter(([, peer]) => now - peer.heardMs <= freshMs);
+/** Lists the reachable peers by address. */
+function listReachable(view: PeerView, now: number): [string, Peer][] {
+  const reachableMs = computeReachableMs(view);
+  return [...view.byAddress].filter(([, peer]) => now - peer.heardMs <= reachableMs);
 }
 
-/** Counts the peers that have fallen silent. */
+/** Counts the unreachable peers: known ones whose reports have stopped. */
 export function countSilent(view: PeerView, now: number): number {
-  return view.byAddress.size - listFresh(view, now).length;
+  return view.byAddress.size - listReachable(view, now).length;
 }
 
-/** Lists the addresses of the peers that are heard. */
+/** Lists the addresses of the reachable peers. */
 export function listHeard(view: PeerView, now: number): string[] {
-  return listFresh(view, now).map(([address]) => address);
+  return listReachable(view, now).map(([address]) => address);
 }
 
-/** Lists everyone who is known, by own hearing or that of a peer. */
+/** Lists the addresses of all gateways known directly or through a peer's report. */
 export function listContacts(view: PeerView): string[] {
-  return [...new Set([...view.byAddress.keys(), ...view.hearsay.keys()])];
+  return [...new Set([...view.byAddress.keys(), ...view.indirectPeers.keys()])];
 }
 
-/** A gateway that may schedule cells. */
+/** A gateway that may be the scheduler of cells. */
 export type SchedulerCandidate = { address: string; processorPercent: number };
 
-/** Lists the peers that are heard, with what their processors can do. */
+/** Lists the reachable peers with the processor time available to them. */
 export function listSchedulerCandidates(view: PeerView, now: number): SchedulerCandidate[] {
-  return listFresh(view, now).map(([address, { processorPercent }]) => ({
+  return listReachable(view, now).map(([address, { processorPercent }]) => ({
     address,
     processorPercent,
   }));
 }
 
 /**
- * Notes a gateway that a peer hears. It gets reports from now on, but counts
- * only once it has been heard here: a peer may tell of one that has left.
+ * Records a gateway that a peer named in its report. It is sent reports from now on, but counts
+ * as a peer only once one of its own reports arrives: the named gateway may have left.
  */
 export function addHearsay(view: PeerView, address: string, now: number): void {
-  view.hearsay.set(address, now);
+  view.indirectPeers.set(address, now);
 }
--- a/packages/core/src/gateway/scheduler-link.ts
+++ b/packages/core/src/gateway/scheduler-link.ts
@@ -1,41 +1,46 @@
-/** What a gateway has told the scheduler of a cell, and what it has to tell it. */
+/**
+ * State of a gateway's exchange with the scheduler of a cell.
+ *
+ * The gateway asks the scheduler for places, which are slots at backend servers: a place allows
+ * one request to be sent. The scheduler sends back a reply to each ask (`ScheduleAsk`).
+ */
 import * as schema from '@toucanproxy/schema';
 
-/** A request that waits for a place of the cell, and when it was asked for last. */
+/** When a slot was last asked for, and whether the scheduler has accepted the request. */
 export type PlaceAsk = { askedMs: number; isAccepted: boolean };
 
 export type SchedulerLink = {
   cell: string;
   service: string;
-  /** Address of the gateway that schedules the cell, and its life as it last told. */
+  /** Address of the gateway that schedules the cell, and its incarnation as of its last reply. */
   address: string;
   life: string;
   sequence: number;
-  /** The highest sequence that was answered. */
-  echo: number;
-  /** When each ask was sent, by its sequence, milliseconds; the recent ones. */
+  /** Highest sequence number that got a reply. */
+  lastAnsweredSequence: number;
+  /** When each recent ask was sent, by its sequence number, in milliseconds. */
   sentMs: Map<number, number>;
   lastSentMs: number;
-  /** When the first ask that was not answered yet was sent, milliseconds. */
+  /** When the first ask without a reply was sent, in milliseconds. */
   unansweredMs: number | undefined;
-  /** Requests that wait, by serial. */
+  /** Waiting requests by serial number. */
   asks: Map<number, PlaceAsk>;
   withdrawn: number[];
   observations: schema.ServerObservation[];
   lastGrant: number;
-  /** Statements of backend servers that were sent so far; all of them are sent in turn. */
+  /** Number of backend server statements sent so far; all of them are sent in rotation. */
   statementsSent: number;
-  /** There is something to tell at once. */
+  /** An ask must be sent without delay. */
   isDirty: boolean;
-  /** Places of the cell, and requests at them or before them, as last told. */
+  /** Slots of the cell, and requests running or queued there, according to the last reply. */
   places: number;
   load: number;
 };
 
-/** Asks whose time is remembered. */
-const MAX_SENT = 64;
+/** Number of recent asks whose sending time is kept. */
+const MAX_SENT_TIMES = 64;
 
-/** Creates a link over which nothing was told. */
+/** Creates a link over which nothing has been sent. */
 export function createLink(cell: string, service: string, address: string): SchedulerLink {
   return {
     cell,
@@ -43,7 +48,7 @@
     address,
     life: '',
     sequence: 0,
-    echo: 0,
+    lastAnsweredSequence: 0,
     sentMs: new Map(),
     lastSentMs: -Infinity,
     unansweredMs: undefined,
@@ -58,8 +63,8 @@
   };
 }
 
-/** Forgets what was accepted: another scheduler knows nothing of it. */
-function clearAccepted(link: SchedulerLink): void {
+/** Marks all asks as not accepted, because a new scheduler does not know them. */
+function clearAcceptance(link: SchedulerLink): void {
   link.lastGrant = 0;
   link.asks.forEach((ask) => {
     ask.isAccepted = false;
@@ -68,32 +73,36 @@
   link.isDirty = true;
 }
 
-/** Turns to another scheduler. */
+/** Switches to another scheduler. */
 export function setScheduler(link: SchedulerLink, address: string): void {
   link.address = address;
   link.life = '';
   link.sentMs.clear();
   link.unansweredMs = undefined;
-  clearAccepted(link);
+  clearAcceptance(link);
 }
 
-/** Notes an answer; a scheduler that has restarted has forgotten what it was told. */
+/**
+ * Records a reply. A scheduler that has restarted has lost its state.
+ *
+ * @param echo sequence number of the ask that the reply belongs to
+ */
 export function noteAnswer(link: SchedulerLink, life: string, echo: number): void {
   if (link.life !== '' && link.life !== life) {
-    clearAccepted(link);
+    clearAcceptance(link);
   }
   link.life = life;
-  if (echo >= link.echo) {
-    link.echo = echo;
+  if (echo >= link.lastAnsweredSequence) {
+    link.lastAnsweredSequence = echo;
     link.unansweredMs = link.sentMs.get(echo + 1);
   }
 }
 
-/** Notes that an ask is sent. */
+/** Records that an ask has been sent. */
 export function noteSent(link: SchedulerLink, now: number): void {
   link.sequence += 1;
   link.sentMs.set(link.sequence, now);
-  link.sentMs.delete(link.sequence - MAX_SENT);
+  link.sentMs.delete(link.sequence - MAX_SENT_TIMES);
   link.lastSentMs = now;
   link.unansweredMs ??= now;
   link.isDirty = false;
--- a/packages/core/src/gateway/scheduler-ranking.ts
+++ b/packages/core/src/gateway/scheduler-ranking.ts
@@ -1,57 +1,57 @@
-/** Which gateway schedules a cell, as this gateway sees it. */
+/** Chooses which gateway schedules a cell, from this gateway's view of its peers. */
 import * as scheduler from '../scheduler/index.js';
 import * as peerView from './peer-view.js';
 
 export type SchedulerRanking = {
   computedMs: number;
   revision: number;
-  /** Part of the gateways that are remembered, this one included, that are heard. */
-  heardShare: number;
-  /** Gateways that may schedule, and their order for each cell so far. */
+  /** Share of the known gateways, including this one, that are reachable. */
+  reachableShare: number;
+  /** Gateways that may schedule, and their order for each cell that has been ranked so far. */
   addresses: string[];
   byCell: Map<string, scheduler.SchedulerOrder>;
-  /** Schedulers that did not answer, and until when they are passed over, ms. */
-  silentUntilMs: Map<string, number>;
+  /** Until when each scheduler that did not reply is skipped, in milliseconds. */
+  unreachableUntilMs: Map<string, number>;
 };
 
-/** Who schedules a cell, and what part of the places it may give out. */
+/** The scheduler of a cell, and the share of the cell's slots that it may grant. */
 export type ChosenScheduler = { address: string; placeShare: number };
 
-/** Gateways that fell silent drop out of the ranking within this time, milliseconds. */
-const RANKING_MS = 500;
+/** Unreachable gateways drop out of the ranking within this time, in milliseconds. */
+const MAX_RANKING_AGE_MS = 500;
 /**
- * Gateways with less of a processor than this part of the strongest one's schedule no
- * cell: VMs differ sixfold, and on a weak one the work of a cell delays its callers.
+ * Gateways with less than this share of the strongest gateway's processor time schedule no
+ * cells: VMs differ sixfold, and scheduling a cell on a weak one delays its own callers.
  */
 const MIN_PROCESSOR_SHARE = 0.5;
 /**
- * A scheduler that did not answer is passed over for this time, milliseconds: one that
- * was killed is back after a second or two, and reports tell of it until then.
+ * How long a scheduler that did not reply is skipped, in milliseconds. One that was killed is
+ * back after a second or two, and its last reports still count until then.
  */
-const SILENT_MS = 1500;
+const SKIP_MS = 1500;
 /**
- * Schedulers passed over before this gateway, above which it takes itself to be cut off
- * from the others. Another one then schedules the cell for them, and this one uses the
- * part of the places that its share of the callers needs.
+ * A gateway that skips more schedulers than this assumes that it is cut off from the others.
+ * Another gateway then schedules the cell for them, and this one uses only the share of the
+ * slots that corresponds to its share of the callers.
  */
-const CUT_OFF_PASSED = 2;
-/** The same where it hears no more than this part of the gateways that it remembers. */
-const CUT_OFF_HEARD = 0.25;
+const MAX_SKIPPED = 2;
+/** A gateway also assumes this if less than this share of the known gateways is reachable. */
+const MIN_REACHABLE_SHARE = 0.25;
 
-/** Creates a ranking that is worked out at its first use. */
+/** Creates a ranking that is computed at its first use. */
 export function createSchedulerRanking(): SchedulerRanking {
   return {
     computedMs: -Infinity,
     revision: -1,
-    heardShare: 1,
+    reachableShare: 1,
     addresses: [],
     byCell: new Map(),
-    silentUntilMs: new Map(),
+    unreachableUntilMs: new Map(),
   };
 }
 
-/** Lists the gateways that may schedule. */
-function listSchedulers(
+/** Lists the gateways that are strong enough to schedule. */
+function listCapableGateways(
   view: peerView.PeerView,
   own: peerView.SchedulerCandidate,
   now: number,
@@ -63,29 +63,29 @@
     .map(({ address }) => address);
 }
 
-/** Brings the ranking in line with the gateways that are heard. */
+/** Updates the ranking to the gateways that are reachable. */
 function updateRanking(
   ranking: SchedulerRanking,
   view: peerView.PeerView,
   own: peerView.SchedulerCandidate,
   now: number,
 ): void {
-  if (ranking.revision === view.revision && now - ranking.computedMs <= RANKING_MS) {
+  if (ranking.revision === view.revision && now - ranking.computedMs <= MAX_RANKING_AGE_MS) {
     return;
   }
   ranking.computedMs = now;
   ranking.revision = view.revision;
   const all = peerView.countGateways(view);
-  ranking.heardShare = (all - peerView.countSilent(view, now)) / all;
-  applyAddresses(ranking, listSchedulers(view, own, now));
+  ranking.reachableShare = (all - peerView.countSilent(view, now)) / all;
+  updateOrders(ranking, listCapableGateways(view, own, now));
 }
 
 /**
- * Brings the orders of all cells in line with the gateways that may schedule. Load pattern: a
- * fleet of hundreds starts, and each gateway becomes known by itself; ranked anew each time, dozens of cells
- * take all of a small VM's processor for seconds.
+ * Updates the orders of all cells to the gateways that may schedule, incrementally. When a fleet
+ * of hundreds of gateways starts, they become known one at a time; ranking dozens of cells from
+ * scratch each time takes all of a small VM's processor for seconds.
  */
-function applyAddresses(ranking: SchedulerRanking, addresses: string[]): void {
+function updateOrders(ranking: SchedulerRanking, addresses: string[]): void {
   const before = new Set(ranking.addresses);
   const after = new Set(addresses);
   const added = addresses.filter((one) => !before.has(one));
@@ -99,25 +99,24 @@
   );
 }
 
-/** Notes that a scheduler did not answer. */
+/** Records that a scheduler did not reply. */
 export function noteSilent(ranking: SchedulerRanking, address: string, now: number): void {
-  ranking.silentUntilMs.set(address, now + SILENT_MS);
+  ranking.unreachableUntilMs.set(address, now + SKIP_MS);
 }
 
-/** Notes that a scheduler has answered. */
+/** Records that a scheduler has replied. */
 export function noteAnswering(ranking: SchedulerRanking, address: string): void {
-  ranking.silentUntilMs.delete(address);
+  ranking.unreachableUntilMs.delete(address);
 }
 
-/** Tells whether a scheduler is passed over. */
-function isSilent({ silentUntilMs }: SchedulerRanking, address: string, now: number): boolean {
-  return now < (silentUntilMs.get(address) ?? -Infinity);
+/** Returns whether a scheduler is skipped. */
+function isUnreachable({ unreachableUntilMs }: SchedulerRanking, address: string, now: number): boolean {
+  return now < (unreachableUntilMs.get(address) ?? -Infinity);
 }
 
 /**
- * Chooses who schedules a cell: the first in its order that answers. Where none of the
- * others does, this gateway schedules for itself, also where it is too weak to do so
- * for others.
+ * Chooses the scheduler of a cell: the first in its order that replies. If none of the others
+ * does, this gateway schedules for itself, even if it is too weak to schedule for others.
  */
 export function chooseScheduler(
   ranking: SchedulerRanking,
@@ -130,9 +129,9 @@
   const order =
     ranking.byCell.get(cellName) ?? scheduler.rankSchedulers(cellName, ranking.addresses);
   ranking.byCell.set(cellName, order);
-  const passed = order.findIndex(({ id }) => id === own.address || !isSilent(ranking, id, now));
-  const address = passed === -1 ? own.address : order[passed].id;
-  const { heardShare } = ranking;
-  const isCutOff = passed === -1 || passed > CUT_OFF_PASSED || heardShare < CUT_OFF_HEARD;
-  return { address, placeShare: isCutOff ? heardShare : 1 };
+  const skipped = order.findIndex(({ id }) => id === own.address || !isUnreachable(ranking, id, now));
+  const address = skipped === -1 ? own.address : order[skipped].id;
+  const { reachableShare } = ranking;
+  const isCutOff = skipped === -1 || skipped > MAX_SKIPPED || reachableShare < MIN_REACHABLE_SHARE;
+  return { address, placeShare: isCutOff ? reachableShare : 1 };
 }
--- a/packages/core/src/gateway/server-entries.test.ts
+++ b/packages/core/src/gateway/server-entries.test.ts
@@ -12,8 +12,8 @@
 const HELD_MS = 6000;
 const DOMAIN = 'd1';
 
-/** Reads entries of the first epoch, up to a count. */
-function createRead(
+/** Creates a registry from a snapshot of the store's first epoch. */
+function createServers(
   entries: Parameters<typeof serverEntries.applySnapshot>[1],
   count = 100,
 ): backendServers.BackendServers {
@@ -22,8 +22,8 @@
   return servers;
 }
 
-/** Lists all entries of a store that has been restored from an older backup. */
-function readBackup(
+/** Applies a snapshot of a store that has been restored from an older backup. */
+function applyRestoredSnapshot(
   servers: backendServers.BackendServers,
   entries: Parameters<typeof serverEntries.applySnapshot>[1],
   count: number,
@@ -33,48 +33,51 @@
   serverEntries.applySnapshot(servers, entries, buildRevision(count, 2), now);
 }
 
-/** Builds the word that a failure domain is evacuated, or taken back. */
-function buildWord(count: number, epoch: number, isEvacuated: boolean) {
+/** Builds a change that starts or ends the evacuation of the failure domain. */
+function buildEvacuation(count: number, epoch: number, isEvacuated: boolean) {
   return { failureDomain: DOMAIN, isEvacuated, revision: buildRevision(count, epoch) };
 }
 
-/** Tells whether a backend server may get new work. */
+/** Returns whether a backend server may receive new work. */
 function isUsable(servers: backendServers.BackendServers, id: string, now: number): boolean {
   return backendServers.findUsable(servers, id, now) !== undefined;
 }
 
-test('server that the backup does not name is dropped', () => {
-  // Guards against a server that stays for ever: its count is above that of the list.
-  const servers = createRead([buildEntry('a', { revision: buildRevision(98, 1) })]);
-  readBackup(servers, [], 90, 1000);
+test('server missing from the backup is removed', () => {
+  // Its entry has a higher write count than the restored snapshot, so it could look newer
+  // than the snapshot and never be removed.
+  const servers = createServers([buildEntry('a', { revision: buildRevision(98, 1) })]);
+  applyRestoredSnapshot(servers, [], 90, 1000);
   assert.equal(isUsable(servers, 'a', 2999), true);
   assert.equal(serverEntries.expireMissing(servers, 3000)[0].change, 'gone');
 });
 
-test('living server writes its entry again', () => {
-  const servers = createRead([buildEntry('a', { revision: buildRevision(98, 1) })]);
-  readBackup(servers, [], 90, 1000);
+test('running server writes its entry again', () => {
+  const servers = createServers([buildEntry('a', { revision: buildRevision(98, 1) })]);
+  applyRestoredSnapshot(servers, [], 90, 1000);
   serverEntries.applyEntry(servers, buildEntry('a', { revision: buildRevision(91, 2) }), 1500);
   assert.deepEqual(serverEntries.expireMissing(servers, 9000), []);
   assert.equal(isUsable(servers, 'a', 9000), true);
 });
 
-test('evacuated again under a lower count', () => {
-  // Guards against an operator's new word that is left out as an older one.
-  const servers = createRead([]);
-  evacuationChanges.applyEvacuations(servers, [buildWord(100, 1, true)], 0);
-  evacuationChanges.applyEvacuations(servers, [buildWord(110, 1, false)], 1);
-  assert.equal(evacuationChanges.applyEvacuations(servers, [buildWord(95, 2, true)], 2).length, 1);
+test('evacuated again with a lower write count', () => {
+  // A new change by an operator must not be ignored because its count is lower than that of a
+  // change before the restore.
+  const servers = createServers([]);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(100, 1, true)], 0);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(110, 1, false)], 1);
+  assert.equal(evacuationChanges.applyEvacuations(servers, [buildEvacuation(95, 2, true)], 2).length, 1);
   assert.equal(
-    evacuationChanges.applyEvacuations(servers, [buildWord(130, 1, false)], 3).length,
+    evacuationChanges.applyEvacuations(servers, [buildEvacuation(130, 1, false)], 3).length,
     0,
   );
 });
 
-test('evacuation that the backup does not name is held', () => {
-  // Guards against work in a domain whose evacuation was lost, until it is written again.
-  const servers = createRead([buildEntry('a', { failureDomain: DOMAIN })]);
-  evacuationChanges.applyEvacuations(servers, [buildWord(100, 1, true)], 0);
+test('evacuation missing from the backup is held', () => {
+  // The restore lost the evacuation of a domain: no requests may go there until operators
+  // have had time to write it again.
+  const servers = createServers([buildEntry('a', { failureDomain: DOMAIN })]);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(100, 1, true)], 0);
   const revision = buildRevision(90, 2);
   assert.deepEqual(evacuationChanges.applyEvacuationList(servers, [], revision, 1000), []);
   serverEntries.noteRead(servers, revision);
@@ -84,80 +87,83 @@
   assert.equal(isUsable(servers, 'a', 1000 + HELD_MS), true);
 });
 
-test('evacuation that is written again stays', () => {
-  const servers = createRead([]);
-  evacuationChanges.applyEvacuations(servers, [buildWord(100, 1, true)], 0);
+test('evacuation that is written again stays active', () => {
+  const servers = createServers([]);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(100, 1, true)], 0);
   evacuationChanges.applyEvacuationList(servers, [], buildRevision(90, 2), 1000);
-  evacuationChanges.applyEvacuations(servers, [buildWord(92, 2, true)], 1500);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(92, 2, true)], 1500);
   assert.deepEqual(evacuationChanges.expireEvacuations(servers, 60_000), []);
 });
 
-test('server told with a grant after the return', () => {
-  // Guards against news that is refused as older than all that was read before.
-  const servers = createRead([]);
-  readBackup(servers, [], 90, 1000);
+test('entry received with a grant after a restore', () => {
+  // An entry of the new epoch must not be ignored as older than what was read before.
+  const servers = createServers([]);
+  applyRestoredSnapshot(servers, [], 90, 1000);
   serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(120, 1) }), 1001);
   assert.equal(isUsable(servers, 'a', 1001), false);
   serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(91, 2) }), 1002);
   assert.equal(isUsable(servers, 'a', 1002), true);
 });
 
-test('leaving server that the backup tells is in service', () => {
-  // Guards against work for a server that shuts down: the backup is from before its word.
-  const servers = createRead([buildEntry('a', { revision: buildRevision(40, 1) })]);
+test('leaving server that is in service in the backup', () => {
+  // The backup is from before the server announced that it is leaving: requests must not go to
+  // a server that is shutting down.
+  const servers = createServers([buildEntry('a', { revision: buildRevision(40, 1) })]);
   const leaving = buildEntry('a', { leaving: true, revision: buildRevision(98, 1) });
   serverEntries.applyEntry(servers, leaving, 10);
-  readBackup(servers, [buildEntry('a', { revision: buildRevision(40, 2) })], 90, 1000);
+  applyRestoredSnapshot(servers, [buildEntry('a', { revision: buildRevision(40, 2) })], 90, 1000);
   assert.equal(isUsable(servers, 'a', 1000 + HELD_MS - 1), false);
   assert.equal(isUsable(servers, 'a', 1000 + HELD_MS), true);
   serverEntries.applyEntry(servers, { ...leaving, revision: buildRevision(91, 2) }, 1500);
   assert.equal(isUsable(servers, 'a', 1000 + HELD_MS), false);
 });
 
-test('server that went and is in the backup', () => {
-  // Guards against work for a server that has left: its entry is there until it lapses.
+test('removed server that is in the backup', () => {
+  // Requests must not go to a server that has left, although its restored entry remains until
+  // it expires.
   const entry = buildEntry('a', { revision: buildRevision(40, 1) });
-  const servers = createRead([entry]);
+  const servers = createServers([entry]);
   assert.equal(serverEntries.removeEntry(servers, 'a', 500)?.change, 'gone');
-  readBackup(servers, [{ ...entry, revision: buildRevision(40, 2) }], 90, 1000);
+  applyRestoredSnapshot(servers, [{ ...entry, revision: buildRevision(40, 2) }], 90, 1000);
   assert.equal(isUsable(servers, 'a', 1001), false);
   serverEntries.applyEntry(servers, { ...entry, revision: buildRevision(93, 2) }, 1500);
   assert.equal(isUsable(servers, 'a', 1500), true);
 });
 
-test('new life of a server that went is used at once', () => {
+test('new incarnation of a removed server is used at once', () => {
   const entry = buildEntry('a', { revision: buildRevision(40, 1) });
-  const servers = createRead([entry]);
+  const servers = createServers([entry]);
   serverEntries.removeEntry(servers, 'a', 500);
-  readBackup(servers, [{ ...entry, bornMs: 2, revision: buildRevision(91, 2) }], 92, 1000);
+  applyRestoredSnapshot(servers, [{ ...entry, bornMs: 2, revision: buildRevision(91, 2) }], 92, 1000);
   assert.equal(isUsable(servers, 'a', 1001), true);
 });
 
-test('lapsed server that is told with a grant is not held', () => {
+test('removed server whose entry arrives with a grant is not held', () => {
   const entry = buildEntry('a', { revision: buildRevision(40, 1) });
-  const servers = createRead([entry]);
+  const servers = createServers([entry]);
   serverEntries.removeEntry(servers, 'a', 500);
   serverEntries.applyTold(servers, { ...entry, revision: buildRevision(101, 1) }, 600);
   assert.equal(isUsable(servers, 'a', 600), true);
 });
 
-test('server that warms up and is warm in the backup', () => {
-  // Guards against a burst for a server whose word that it warms up was lost.
-  const servers = createRead([buildEntry('a', { revision: buildRevision(40, 1) })]);
+test('server that is warming up and is warm in the backup', () => {
+  // The restore lost the entry of a server that is warming up: the server must not receive a
+  // burst of requests.
+  const servers = createServers([buildEntry('a', { revision: buildRevision(40, 1) })]);
   const warming = { warmUpLeftMs: 3000, revision: buildRevision(98, 1) };
   serverEntries.applyEntry(servers, buildEntry('a', warming), 900);
-  readBackup(servers, [buildEntry('a', { revision: buildRevision(40, 2) })], 90, 1000);
+  applyRestoredSnapshot(servers, [buildEntry('a', { revision: buildRevision(40, 2) })], 90, 1000);
   const known = servers.byId.get('a');
-  assert.ok(known !== undefined && warmUpTimes.computeWarmUntil(servers, known, 3000) > 3000);
+  assert.ok(known !== undefined && warmUpTimes.computeWarmUpEnd(servers, known, 3000) > 3000);
 });
 
 test('restored entry is older than the return of its domain', () => {
-  // Guards against entries that look newer as they were read in a later epoch.
+  // An entry that was read in a later epoch must not look newer than it is.
   const entry = buildEntry('a', { failureDomain: DOMAIN, revision: buildRevision(40, 1) });
-  const servers = createRead([entry]);
-  evacuationChanges.applyEvacuations(servers, [buildWord(50, 1, true)], 0);
-  evacuationChanges.applyEvacuations(servers, [buildWord(80, 1, false)], 900);
-  readBackup(servers, [{ ...entry, revision: buildRevision(40, 2) }], 90, 1000);
+  const servers = createServers([entry]);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(50, 1, true)], 0);
+  evacuationChanges.applyEvacuations(servers, [buildEvacuation(80, 1, false)], 900);
+  applyRestoredSnapshot(servers, [{ ...entry, revision: buildRevision(40, 2) }], 90, 1000);
   const known = servers.byId.get('a');
-  assert.ok(known !== undefined && warmUpTimes.computeWarmUntil(servers, known, 3000) === 3900);
+  assert.ok(known !== undefined && warmUpTimes.computeWarmUpEnd(servers, known, 3000) === 3900);
 });
--- a/packages/core/src/gateway/server-entries.ts
+++ b/packages/core/src/gateway/server-entries.ts
@@ -1,12 +1,13 @@
 /**
- * Takes the entries of backend servers in: from the store, and with grants of schedulers.
+ * Applies store entries of backend servers, which are read from the configuration store or arrive
+ * with a scheduler's grants.
  */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as storeRevision from '../shared/store-revision.js';
 import type * as backendServers from './backend-servers.js';
 import * as serverStatements from './server-statements.js';
 
-/** A change of what is known, for the log. */
+/** A change of a known backend server; also logged. */
 export type MembershipChange = {
   id: string;
   service: string;
@@ -23,16 +24,16 @@
 };
 
 /**
- * A store that has been restored from an older backup may tell of backend servers that have left
- * since. They are held for this time, milliseconds: entries that nobody renews lapse after
- * three heartbeats, and living backend servers have written theirs again by then.
+ * A store restored from an older backup may contain backend servers that have left since. They
+ * receive no work for this time, in milliseconds: entries that are not renewed expire after
+ * three heartbeats, and running backend servers have written theirs again by then.
  */
-const HELD_MS = 6000;
-/** Those that went are remembered for this time, milliseconds; longer than backups are old. */
-const DEPARTED_MS = 60_000;
+const RESTORED_HOLD_MS = 6000;
+/** How long removed servers are remembered, in milliseconds: longer than a backup's age. */
+const DEPARTURE_RETENTION_MS = 60_000;
 
-/** Names the change that a new reading of an entry makes. */
-function findChange(
+/** Detects the change between the known state of a backend server and a newly read entry. */
+function detectChange(
   known: backendServers.KnownServer | undefined,
   entry: backendServerEntry.BackendServerEntry,
 ): MembershipChange['change'] | undefined {
@@ -49,11 +50,11 @@
   if (isBack) {
     return 'returned';
   }
-  return findWarmUpChange(known.entry, entry);
+  return detectWarmUpChange(known.entry, entry);
 }
 
-/** Names the change of warming up that a new reading tells of. */
-function findWarmUpChange(
+/** Detects whether a newly read entry starts or ends the warm-up. */
+function detectWarmUpChange(
   before: backendServerEntry.BackendServerEntry,
   entry: backendServerEntry.BackendServerEntry,
 ): 'warming' | 'warm' | undefined {
@@ -65,7 +66,7 @@
   return isWarming ? 'warming' : 'warm';
 }
 
-/** Tells whether two entries are one and the same write, read in different epochs. */
+/** Returns whether two entries stem from the same write, read in different store epochs. */
 function isSameWrite(
   one: backendServerEntry.BackendServerEntry,
   other: backendServerEntry.BackendServerEntry,
@@ -79,18 +80,18 @@
   );
 }
 
-/** Takes in an entry. */
+/** Applies an entry; returns the change that it makes. */
 export function applyEntry(
   servers: backendServers.BackendServers,
   entry: backendServerEntry.BackendServerEntry,
   now: number,
 ): MembershipChange | undefined {
   const known = servers.byId.get(entry.id);
-  const change = findChange(known, entry);
+  const change = detectChange(known, entry);
   const sameLife = change === 'restarted' ? undefined : known;
   const sameWrite = sameLife && isSameWrite(sameLife.entry, entry) ? sameLife : undefined;
   servers.byId.set(entry.id, {
-    // What was written before the store went back stays older than what came after.
+    // An entry from before the restore must stay older than anything written after it.
     entry: sameWrite?.entry ?? entry,
     missingUntilMs: undefined,
     displaced: sameLife?.displaced ?? false,
@@ -102,8 +103,8 @@
   return change && { id: entry.id, service: entry.service, change };
 }
 
-/** Drops a backend server that is gone. */
-function dropServer(
+/** Removes a backend server from the registry and records its departure. */
+function removeServer(
   servers: backendServers.BackendServers,
   { entry }: backendServers.KnownServer,
   now: number,
@@ -115,7 +116,7 @@
   return { id, service, change: 'gone' };
 }
 
-/** Takes in that an entry has disappeared, or names no backend server any more. */
+/** Handles a store entry that was deleted or no longer describes a backend server. */
 export function removeEntry(
   servers: backendServers.BackendServers,
   id: string,
@@ -126,35 +127,35 @@
     return undefined;
   }
   const { service, leaving } = known.entry;
-  if (now < servers.returnUntilMs && !leaving) {
+  if (now < servers.missingGraceUntilMs && !leaving) {
     servers.revision += 1;
-    known.missingUntilMs ??= servers.returnUntilMs;
+    known.missingUntilMs ??= servers.missingGraceUntilMs;
     return { id, service, change: 'missing' };
   }
-  return dropServer(servers, known, now);
+  return removeServer(servers, known, now);
 }
 
 /**
- * Holds a backend server back that this gateway knows to have left, where an older backup of
- * the store tells that it is in service. Without that it would get requests while it shuts
- * down, or after. An entry that it has written itself since ends this.
+ * Holds back new work for a time from a backend server that is in service according to a restored
+ * backup although this gateway knows that it has left. Otherwise it would receive requests while
+ * it is shutting down or after that. The hold ends once the backend server writes its entry again.
  */
-function holdEnded(
+function holdDeparted(
   { byId, departed }: backendServers.BackendServers,
   { id, bornMs, revision }: backendServerEntry.BackendServerEntry,
   now: number,
 ): void {
   const known = byId.get(id);
   const departure = departed.get(id);
-  const isEnded = departure?.bornMs === bornMs && revision.epoch > departure.epoch;
-  if (known !== undefined && isEnded) {
-    known.heldUntilMs = now + HELD_MS;
+  const isDeparted = departure?.bornMs === bornMs && revision.epoch > departure.epoch;
+  if (known !== undefined && isDeparted) {
+    known.heldUntilMs = now + RESTORED_HOLD_MS;
   }
 }
 
 /**
- * Takes in an entry of a store that has been restored from an older backup. One with a lower count
- * than the known one of the same life is older than that.
+ * Applies an entry of a store that has been restored from an older backup. An entry with a lower
+ * write count than the known one of the same incarnation is older than that one.
  */
 function applyRestored(
   servers: backendServers.BackendServers,
@@ -166,7 +167,7 @@
     known?.entry.bornMs === entry.bornMs && entry.revision.count < known.entry.revision.count;
   if (!isOlder) {
     const change = applyEntry(servers, entry, now);
-    holdEnded(servers, entry, now);
+    holdDeparted(servers, entry, now);
     return change;
   }
   if (!known.entry.leaving) {
@@ -178,11 +179,11 @@
     epoch: known.entry.revision.epoch,
     atMs: now,
   });
-  holdEnded(servers, entry, now);
+  holdDeparted(servers, entry, now);
   return change;
 }
 
-/** Notes that this gateway has read everything up to a revision of the store. */
+/** Records that this gateway has read everything up to a store revision. */
 export function noteRead(
   servers: backendServers.BackendServers,
   revision: storeRevision.StoreRevision,
@@ -193,12 +194,13 @@
 }
 
 /**
- * Takes in an entry that a scheduler tells with a grant; it reads the store more often
- * while work waits. Load pattern: a quarter of the engines is back after a crash in the
- * middle of a burst, and stands empty until each gateway has read of them.
+ * Applies an entry that arrives with a scheduler's grant: while requests are queued, a scheduler
+ * reads the store more often than other gateways. Otherwise, if a quarter of the engines
+ * crashed and came back in the middle of a burst, they would stay idle until each gateway had
+ * read their entries.
  *
- * What this gateway has read goes first: an entry that is not newer and that it does not
- * know has been removed.
+ * What this gateway has read from the store takes precedence: an unknown entry that is not newer
+ * than that has been removed since.
  */
 export function applyTold(
   servers: backendServers.BackendServers,
@@ -207,13 +209,13 @@
 ): void {
   if (!servers.byId.has(entry.id) && storeRevision.isLater(entry.revision, servers.readRevision)) {
     applyEntry(servers, entry, now);
-    holdEnded(servers, entry, now);
+    holdDeparted(servers, entry, now);
   }
 }
 
 /**
- * Takes in all entries of the store at once, as they were at a revision or later. Those
- * not named have disappeared, but for what was written since.
+ * Applies a snapshot of all entries, read at the given store revision or later. Known entries
+ * that are not in it have disappeared, unless they were written after that revision.
  */
 export function applySnapshot(
   servers: backendServers.BackendServers,
@@ -234,16 +236,16 @@
   ].filter((change) => change !== undefined);
 }
 
-/** Drops entries that did not come back in time. */
+/** Removes missing entries after the grace period, and outdated departures and statements. */
 export function expireMissing(
   servers: backendServers.BackendServers,
   now: number,
 ): MembershipChange[] {
-  const late = [...servers.byId].filter(([, known]) => now >= (known.missingUntilMs ?? Infinity));
+  const expired = [...servers.byId].filter(([, known]) => now >= (known.missingUntilMs ?? Infinity));
   [...servers.departed]
-    .filter(([, { atMs }]) => now - atMs > DEPARTED_MS)
+    .filter(([, { atMs }]) => now - atMs > DEPARTURE_RETENTION_MS)
     .forEach(([id]) => servers.departed.delete(id));
   const findBornMs = (id: string) => servers.byId.get(id)?.entry.bornMs;
   serverStatements.expireStatements(servers.statements, findBornMs, now);
-  return late.map(([, known]) => dropServer(servers, known, now));
+  return expired.map(([, known]) => removeServer(servers, known, now));
 }
--- a/packages/core/src/gateway/server-statements.test.ts
+++ b/packages/core/src/gateway/server-statements.test.ts
@@ -10,14 +10,14 @@
 const LEAVING = { ...serverStatements.NOTHING_STATED, isLeaving: true };
 const BACKOFF = { ...serverStatements.NOTHING_STATED, backoffMs: 3000 };
 
-/** Creates a register with one backend server. */
+/** Creates a registry with one backend server. */
 function createServers(): backendServers.BackendServers {
   const servers = backendServers.createBackendServers();
   serverEntries.applyEntry(servers, gatewayBench.buildEntry(LIFE.id), 0);
   return servers;
 }
 
-test('statement is news once', () => {
+test('repeated statement is reported once', () => {
   const { statements } = createServers();
   assert.deepEqual(serverStatements.noteStatement(statements, LIFE, LEAVING, 10), [
     { server: 'a', change: 'leaving' },
@@ -30,16 +30,16 @@
   assert.equal(serverStatements.computeBackoffLeft(statements, LIFE, 1030), 2000);
 });
 
-test('shorter backoff ends no longer one', () => {
-  // Guards against requests within the time that an earlier answer asked for.
+test('shorter backoff does not end a longer one', () => {
+  // No requests may be sent within the time that an earlier response asked for.
   const { statements } = createServers();
   serverStatements.noteStatement(statements, LIFE, BACKOFF, 0);
   serverStatements.noteStatement(statements, LIFE, { ...BACKOFF, backoffMs: 100 }, 50);
   assert.equal(serverStatements.computeBackoffLeft(statements, LIFE, 1000), 2000);
 });
 
-test('statement of an earlier life says nothing of the next', () => {
-  // Guards against a late answer that takes a restarted server out of service for good.
+test('statement of an earlier incarnation does not apply to the next', () => {
+  // A late response must not take a restarted server out of service for good.
   const servers = createServers();
   serverEntries.applyEntry(servers, gatewayBench.buildEntry('a', { bornMs: 2 }), 10);
   assert.deepEqual(backendServers.applyStatement(servers, LIFE, LEAVING, 20), []);
@@ -47,7 +47,8 @@
 });
 
 test('statement outlives the entry of its server', () => {
-  // Guards against an entry that comes back after an outage and tells "ready" once more.
+  // A store entry that reappears with state "ready" after an outage must not bring a leaving
+  // server back into service.
   const servers = createServers();
   backendServers.applyStatement(servers, LIFE, LEAVING, 10);
   serverEntries.removeEntry(servers, 'a', 20);
@@ -64,7 +65,7 @@
   assert.equal(servers.statements.size, 0);
 });
 
-test('statements about servers long gone are dropped', () => {
+test('statements about servers removed long ago are dropped', () => {
   const servers = createServers();
   backendServers.applyStatement(servers, LIFE, LEAVING, 10);
   serverEntries.removeEntry(servers, 'a', 20);
--- a/packages/core/src/gateway/server-statements.ts
+++ b/packages/core/src/gateway/server-statements.ts
@@ -1,60 +1,61 @@
 /**
- * What backend servers state about themselves in their answers.
+ * Statements that backend servers make about themselves in their responses.
  *
- * Kept by id and start of life, apart from the entries of the store: a statement holds for the
- * rest of that life, whether the store answers or not and whatever it tells.
+ * They are kept by id and start time, apart from the store entries: a statement holds until the
+ * backend server restarts, whether the store is available or not and whatever its store entry
+ * contains.
  */
 
-/** A rate limit, as an answer last named it. */
-export type NamedLimit = {
-  /** Requests a second from all gateways together; undefined once it is lifted. */
+/** A rate limit as last stated in a response. */
+export type StatedRateLimit = {
+  /** Requests per second from all gateways together; undefined once the limit is lifted. */
   perSecond: number | undefined;
-  /** When an answer last said so, milliseconds. */
+  /** When a response last stated it, in milliseconds. */
   statedMs: number;
 };
 
 export type ServerStatement = {
-  /** Start of the life that it was put down to, milliseconds since the Unix epoch. */
+  /** Start of the incarnation that it was attributed to, in milliseconds since the Unix epoch. */
   bornMs: number;
-  /** When the last request whose answer stated something was sent, in the same unit. */
+  /** When the last request whose response stated something was sent, in the same unit. */
   sentWallMs: number;
-  /** When an answer first said that the backend server leaves, milliseconds. */
+  /** When a response first stated that the backend server is leaving, in milliseconds. */
   leavingSinceMs: number | undefined;
-  /** The backend server takes nothing from this gateway until this time, milliseconds. */
+  /** The backend server accepts no requests from this gateway until this time, in milliseconds. */
   backoffUntilMs: number;
-  /** Undefined where no answer has named or lifted one. */
-  rateLimit: NamedLimit | undefined;
-  /** When an answer last stated something, milliseconds. */
+  /** Undefined if no response has stated or lifted a limit. */
+  rateLimit: StatedRateLimit | undefined;
+  /** When a response last stated something, in milliseconds. */
   statedMs: number;
 };
 
 /** By the id of the backend server. */
 export type ServerStatements = Map<string, ServerStatement>;
 
-/** One life of a backend server. */
+/** One incarnation of a backend server: its process from a start until the next one. */
 export type ServerLife = { id: string; bornMs: number };
 
-/** The request of an answer, as far as it tells whether the answer lifts a rate limit. */
+/** The part of a request that decides whether its response lifts a rate limit. */
 export type AnsweredRequest = {
   sentMs: number;
-  /** The scheduler knew of a rate limit when it granted the place. */
+  /** The scheduler knew of a rate limit when it granted the slot for the request. */
   isRateLimited: boolean;
 };
 
-/** What one answer states. */
+/** The statements of one response. */
 export type AnswerStatement = {
-  /** When the request was sent, milliseconds since the Unix epoch. */
+  /** When the request was sent, in milliseconds since the Unix epoch. */
   sentWallMs: number;
   isLeaving: boolean;
-  /** Time for which the backend server takes nothing from this gateway, milliseconds. */
+  /** How long the backend server accepts no requests from this gateway, in milliseconds. */
   backoffMs: number | undefined;
-  /** Requests a second from all gateways together; undefined where the answer names no limit. */
+  /** Requests per second from all gateways together; undefined if the response states no limit. */
   perSecond: number | undefined;
-  /** Undefined where the answer lifts no limit, such as a refusal that nobody signed. */
+  /** Undefined if the response can lift no limit, for example an unsigned rejection. */
   answered: AnsweredRequest | undefined;
 };
 
-/** A change of what is known, for the log. */
+/** A change of the statements about a backend server; also logged. */
 export type StatementChange = {
   server: string;
   change: 'leaving' | 'backoff' | 'rate-limit' | 'rate-limit-lifted';
@@ -63,7 +64,7 @@
   before?: number;
 };
 
-/** An answer that states nothing. */
+/** The statement of a response that states nothing. */
 export const NOTHING_STATED: AnswerStatement = {
   sentWallMs: 0,
   isLeaving: false,
@@ -73,43 +74,43 @@
 };
 
 /**
- * Statements about a backend server that has no entry are kept for this time, milliseconds: its
- * entry may come back, after an outage of the store or from an older backup.
+ * How long statements about a backend server without a store entry are kept, in milliseconds: the
+ * entry may reappear after a store outage or from an older backup.
  */
-const KEPT_MS = 60_000;
+const RETENTION_MS = 60_000;
 /**
- * Schedulers get a lifted limit for this time, milliseconds: longer than a gateway that knows
- * of the limit only goes without an answer of a busy backend server.
+ * How long schedulers are informed that a limit has been lifted, in milliseconds. This is longer
+ * than a gateway that still knows the limit goes without a response from a busy backend server.
  */
-const LIFTED_REPORTED_MS = 10_000;
+const LIFTED_LIMIT_REPORT_MS = 10_000;
 
 /**
- * Tells whether a statement is about a life: the one that it was put down to, or a later one
- * under the same id that had begun when the request was sent. Answers do not tell their life, and
- * a restart is read from the store only later.
+ * Returns whether a statement applies to an incarnation: the one that it was attributed to, or a
+ * later one under the same id that had begun when the request was sent. Responses do not name the
+ * incarnation they come from, and a restart is read from the store only later.
  */
-export function isAbout(
+export function isAboutLife(
   { bornMs, sentWallMs }: Pick<ServerStatement, 'bornMs' | 'sentWallMs'>,
   lifeBornMs: number,
 ): boolean {
   return lifeBornMs === bornMs || (lifeBornMs > bornMs && lifeBornMs <= sentWallMs);
 }
 
-/** Gets what a life of a backend server has stated. */
+/** Returns the statement that applies to an incarnation of a backend server. */
 export function getStatement(
   statements: ServerStatements,
   { id, bornMs }: ServerLife,
 ): ServerStatement | undefined {
   const known = statements.get(id);
-  return known !== undefined && isAbout(known, bornMs) ? known : undefined;
+  return known !== undefined && isAboutLife(known, bornMs) ? known : undefined;
 }
 
-/** Tells whether a backend server has said that it leaves. */
+/** Returns whether a backend server has stated that it is leaving. */
 export function isLeaving(statements: ServerStatements, life: ServerLife): boolean {
   return getStatement(statements, life)?.leavingSinceMs !== undefined;
 }
 
-/** Computes how much longer a backend server takes nothing from this gateway, milliseconds. */
+/** Computes the remaining backoff of a backend server towards this gateway, in milliseconds. */
 export function computeBackoffLeft(
   statements: ServerStatements,
   life: ServerLife,
@@ -118,29 +119,30 @@
   return Math.max((getStatement(statements, life)?.backoffUntilMs ?? 0) - now, 0);
 }
 
-/** Tells whether any backend server takes nothing from this gateway for now. */
+/** Returns whether any backend server is in backoff towards this gateway. */
 export function hasBackoffs(statements: ServerStatements, now: number): boolean {
   return [...statements.values()].some(({ backoffUntilMs }) => backoffUntilMs > now);
 }
 
-/** Tells whether schedulers get a statement with each ask: it holds, or held until lately. */
-export function isReported(
+/** Returns whether a statement is sent to schedulers: it is active, or was until recently. */
+export function isReportable(
   { leavingSinceMs, backoffUntilMs, rateLimit }: ServerStatement,
   now: number,
 ): boolean {
-  const isLimitTold =
+  const isLimitReportable =
     rateLimit !== undefined &&
-    (rateLimit.perSecond !== undefined || now - rateLimit.statedMs < LIFTED_REPORTED_MS);
-  return leavingSinceMs !== undefined || backoffUntilMs > now || isLimitTold;
+    (rateLimit.perSecond !== undefined || now - rateLimit.statedMs < LIFTED_LIMIT_REPORT_MS);
+  return leavingSinceMs !== undefined || backoffUntilMs > now || isLimitReportable;
 }
 
 /**
- * Tells whether an answer that names no limit lifts one.
+ * Returns whether a response without a stated limit lifts the known one.
  *
- * Only if the limit was known when the request was sent, here or to the scheduler. Answers
- * overtake each other: one from before the overload may come in after the first that names it.
+ * It does so only if this gateway or the scheduler knew of the limit when the request was sent.
+ * Responses may arrive out of order: one from before the overload may arrive after the first
+ * one that states the limit.
  */
-function isLifting(known: NamedLimit | undefined, answered: AnsweredRequest | undefined): boolean {
+function isLimitLifted(known: StatedRateLimit | undefined, answered: AnsweredRequest | undefined): boolean {
   if (answered === undefined) {
     return false;
   }
@@ -148,14 +150,14 @@
   return isKnownHere || (answered.isRateLimited && known?.perSecond === undefined);
 }
 
-/** Finds the rate limit after an answer. */
+/** Finds the rate limit that applies after a response. */
 function findRateLimit(
-  known: NamedLimit | undefined,
+  known: StatedRateLimit | undefined,
   { perSecond, answered }: AnswerStatement,
   now: number,
-): NamedLimit | undefined {
-  const isNews = perSecond !== undefined || isLifting(known, answered);
-  return isNews ? { perSecond, statedMs: now } : known;
+): StatedRateLimit | undefined {
+  const isChange = perSecond !== undefined || isLimitLifted(known, answered);
+  return isChange ? { perSecond, statedMs: now } : known;
 }
 
 /** Lists what has changed from one statement to the next. */
@@ -175,15 +177,15 @@
   }
   const perSecond = after.rateLimit?.perSecond;
   const limitBefore = before?.rateLimit;
-  const isFirstWord = limitBefore === undefined && after.rateLimit !== undefined;
-  if (isFirstWord || perSecond !== limitBefore?.perSecond) {
+  const isFirstStatement = limitBefore === undefined && after.rateLimit !== undefined;
+  if (isFirstStatement || perSecond !== limitBefore?.perSecond) {
     const change = perSecond === undefined ? 'rate-limit-lifted' : 'rate-limit';
     changes.push({ server, change, perSecond, before: limitBefore?.perSecond });
   }
   return changes;
 }
 
-/** Takes in what an answer states, and gives what is news. */
+/** Applies the statements of a response; returns the resulting changes. */
 export function noteStatement(
   statements: ServerStatements,
   life: ServerLife,
@@ -192,14 +194,14 @@
 ): StatementChange[] {
   const known = getStatement(statements, life);
   const rateLimit = findRateLimit(known?.rateLimit, stated, now);
-  const { isLeaving: saysLeaving, backoffMs } = stated;
-  if (!saysLeaving && backoffMs === undefined && rateLimit === known?.rateLimit) {
+  const { isLeaving: statesLeaving, backoffMs } = stated;
+  if (!statesLeaving && backoffMs === undefined && rateLimit === known?.rateLimit) {
     return [];
   }
   const after = {
     bornMs: life.bornMs,
     sentWallMs: Math.max(known?.sentWallMs ?? 0, stated.sentWallMs),
-    leavingSinceMs: known?.leavingSinceMs ?? (saysLeaving ? now : undefined),
+    leavingSinceMs: known?.leavingSinceMs ?? (statesLeaving ? now : undefined),
     backoffUntilMs: Math.max(known?.backoffUntilMs ?? 0, now + (backoffMs ?? 0)),
     rateLimit,
     statedMs: now,
@@ -209,9 +211,10 @@
 }
 
 /**
- * Forgets statements of earlier lives, and those about backend servers that have been gone for long.
+ * Removes statements about earlier incarnations, and those about backend servers that disappeared
+ * long ago.
  *
- * @param findBornMs finds the start of the present life; undefined where there is no entry
+ * @param findBornMs finds the start of the present incarnation; undefined if there is no entry
  */
 export function expireStatements(
   statements: ServerStatements,
@@ -221,8 +224,8 @@
   [...statements]
     .filter(([id, statement]) => {
       const knownBornMs = findBornMs(id);
-      const isOld = now - Math.max(statement.statedMs, statement.backoffUntilMs) > KEPT_MS;
-      return knownBornMs === undefined ? isOld : !isAbout(statement, knownBornMs);
+      const isOld = now - Math.max(statement.statedMs, statement.backoffUntilMs) > RETENTION_MS;
+      return knownBornMs === undefined ? isOld : !isAboutLife(statement, knownBornMs);
     })
     .forEach(([id]) => statements.delete(id));
 }
--- a/packages/core/src/gateway/store-answers.test.ts
+++ b/packages/core/src/gateway/store-answers.test.ts
@@ -9,14 +9,14 @@
 const { test } = nodeTest;
 const { buildClocks } = gatewayBench;
 
-/** Creates a gateway that has version 1 and has confirmed nothing yet. */
+/** Creates a gateway that has version 1 of the configuration and no confirmed lease. */
 function createState(): gatewayState.GatewayState {
   const state = gatewayBench.createBench(['a']);
   state.belief = belief.createBelief();
   return state;
 }
 
-/** Takes in a report of a peer that has a version in force. */
+/** Applies a report of a peer whose active configuration has the given version. */
 function applyVersion(state: gatewayState.GatewayState, version: number, now: number): void {
   const report = {
     address: '10.0.0.2:1',
@@ -31,14 +31,15 @@
   peerView.applyReport(state.peers, report, now);
 }
 
-/** Tells whether callers with keys are served. */
+/** Returns whether requests with a credential are served. */
 function isConfirmed(state: gatewayState.GatewayState, now: number): boolean {
   const standing = belief.getStanding(state.belief, true, state.bounds.leaseMs, buildClocks(now));
   return standing === belief.Standing.CONFIRMED;
 }
 
-test('list that is older than a peer confirms nothing', () => {
-  // Guards against keys that were taken away, at a gateway that starts on a restored backup.
+test('list with an older version than a peer does not renew the lease', () => {
+  // A gateway that starts with a store restored from an older backup must not accept keys that
+  // have been revoked since.
   const state = createState();
   applyVersion(state, 2, 5);
   const outcome = storeAnswers.noteStoreAnswer(state, buildClocks(10), true, 20);
@@ -46,8 +47,8 @@
   assert.equal(isConfirmed(state, 20), false);
 });
 
-test('changes that are older than a peer have all listed', () => {
-  // Guards against a lease that is lost since changes leave something out for a moment.
+test('changes with an older version than a peer trigger a full list', () => {
+  // Changes may omit something for a moment; the lease must not be lost because of that.
   const state = createState();
   applyVersion(state, 2, 5);
   const outcome = storeAnswers.noteStoreAnswer(state, buildClocks(10), false, 20);
@@ -57,8 +58,8 @@
   assert.equal(isConfirmed(state, 40), false);
 });
 
-test('version that a peer tells after the call is on its way', () => {
-  // Guards against gateways that refuse callers with each change of the configuration.
+test('version that a peer reports after the store call was sent', () => {
+  // Gateways must not reject callers with each change of the configuration.
   const state = createState();
   applyVersion(state, 2, 15);
   const outcome = storeAnswers.noteStoreAnswer(state, buildClocks(10), true, 20);
@@ -66,7 +67,7 @@
   assert.ok(isConfirmed(state, 20));
 });
 
-test('store that has caught up confirms again', () => {
+test('store that has caught up renews the lease', () => {
   const state = createState();
   applyVersion(state, 2, 5);
   storeAnswers.noteStoreAnswer(state, buildClocks(10), true, 20);
@@ -79,7 +80,7 @@
   assert.ok(isConfirmed(state, 60));
 });
 
-test('peer that tells a wrong version locks nobody out for good', () => {
+test('peer that reports a wrong version does not lock callers out for good', () => {
   const state = createState();
   applyVersion(state, 1e9, 5);
   storeAnswers.noteStoreAnswer(state, buildClocks(10), true, 20);
--- a/packages/core/src/gateway/store-answers.ts
+++ b/packages/core/src/gateway/store-answers.ts
@@ -1,43 +1,45 @@
 /**
- * What an answer of the store confirms.
+ * Decides whether a response of the store renews the lease on the configuration.
  *
- * Answers are linearizable: a list that is asked for after a peer has told of a version holds
- * that version or a later one, unless the store has been restored from an older backup. A gateway
- * that starts then reads keys which were taken away as valid. Until the store has caught up it
- * confirms nothing, so that callers with keys are refused and find another gateway.
+ * Responses are linearizable: a list that is requested after a peer has reported a version
+ * contains that version or a later one, unless the store has been restored from an older backup.
+ * A gateway that starts after such a restore reads revoked keys as valid. It therefore renews no
+ * lease until the store has caught up, so that callers with keys are rejected and find another
+ * gateway.
  */
 import * as belief from './belief.js';
 import type * as gatewayState from './gateway-state.js';
 import * as peerView from './peer-view.js';
 
-/** What follows from an answer. */
+/** The consequences of a store response. */
 export type StoreAnswerOutcome = {
-  /** All is to be listed next: changes alone may leave something out for a moment. */
+  /** The next call must list everything: changes alone may omit something for a moment. */
   isListDue: boolean;
-  /** News of whether the store is behind, for the log. */
+  /** Set if the store has fallen behind the peers or caught up with them; for the log. */
   news: 'store-behind' | 'store-caught-up' | undefined;
 };
 
 /**
- * A store that stays behind for this time is believed, milliseconds. Operators write again
- * within seconds what was lost; a peer that tells a wrong version must not lock callers out.
+ * After this time a store that is still behind is trusted again, in milliseconds. Operators
+ * write again within seconds what a restore lost, and a peer that reports a wrong version must
+ * not lock callers out for good.
  */
-const BEHIND_MOST_MS = 60_000;
+const MAX_BEHIND_MS = 60_000;
 
-/** Tells whether a peer has told, before a time, of a later version than the one in force here. */
+/** Returns whether a peer reported a later version than the active one before a given time. */
 function isBehindPeers(
   { index, peers }: gatewayState.GatewayState,
-  heardBeforeMs: number,
+  reportedBeforeMs: number,
 ): boolean {
   const version = index?.configuration.version ?? 0;
-  return peerView.findNewestVersion(peers, heardBeforeMs) > version;
+  return peerView.findNewestVersion(peers, reportedBeforeMs) > version;
 }
 
 /**
- * Takes in that the store has answered, once what it told is in force.
+ * Handles a response of the store after its content has been applied.
  *
- * @param sent reading of the clocks when the call was sent
- * @param isList the answer lists everything; else it tells changes
+ * @param sent clock reading at the time the call was sent
+ * @param isList whether the response lists everything; otherwise it contains changes
  */
 export function noteStoreAnswer(
   state: gatewayState.GatewayState,
@@ -57,7 +59,7 @@
     return { isListDue: true, news: undefined };
   }
   belief.noteBehind(known, now);
-  if (now - (known.behindSinceMs ?? now) > BEHIND_MOST_MS) {
+  if (now - (known.behindSinceMs ?? now) > MAX_BEHIND_MS) {
     known.confirmed = sent;
   }
   return { isListDue: false, news: wasBehind ? undefined : 'store-behind' };
--- a/packages/core/src/gateway/warm-up-times.ts
+++ b/packages/core/src/gateway/warm-up-times.ts
@@ -1,45 +1,46 @@
-/** Until when backend servers warm up, as this gateway knows. */
+/** Computes when the warm-up of backend servers ends. */
 import * as storeRevision from '../shared/store-revision.js';
 import type * as backendServers from './backend-servers.js';
 import type * as configurationIndex from './configuration-index.js';
 import * as evacuations from './evacuations.js';
 
 /**
- * Computes until when a backend server warms up, milliseconds; -Infinity where it does not.
+ * Computes when the warm-up of a backend server ends, in milliseconds; -Infinity if it is warm.
  *
- * Its entry tells, but late. It is taken as warming as well from the return of its failure
- * domain on, until an entry that was written after that says otherwise, and from the first
- * sight of a life whose entry says nothing: else the calls that wait for a place would all
- * go to the emptiest backend server, and crash it.
+ * The store entry of a backend server contains this, but arrives late. A backend server is
+ * therefore also treated as warming up after its failure domain returns to service, until an entry
+ * written after the return arrives, and after its incarnation is first seen if its entry does not
+ * contain a warm-up time. Otherwise all queued requests would go to the emptiest backend server
+ * and crash it.
  *
- * @param warmUpMs how long backend servers of its service warm up, milliseconds
+ * @param warmUpMs duration of the warm-up of the service's backend servers, in milliseconds
  */
-export function computeWarmUntil(
+export function computeWarmUpEnd(
   servers: backendServers.BackendServers,
   { entry, readMs, firstSeenMs }: backendServers.KnownServer,
   warmUpMs: number,
 ): number {
   const { warmUpLeftMs, failureDomain, revision } = entry;
-  const told = warmUpLeftMs === undefined ? firstSeenMs + warmUpMs : readMs + warmUpLeftMs;
-  const domainReturn = evacuations.findReturn(servers.evacuations, failureDomain);
-  const isToldSince =
+  const stated = warmUpLeftMs === undefined ? firstSeenMs + warmUpMs : readMs + warmUpLeftMs;
+  const domainReturn = evacuations.findDomainReturn(servers.evacuations, failureDomain);
+  const isEntryNewer =
     domainReturn !== undefined && storeRevision.isLater(revision, domainReturn.revision);
   const returned =
-    domainReturn === undefined || isToldSince ? -Infinity : domainReturn.atMs + warmUpMs;
-  return Math.max(warmUpLeftMs === 0 ? -Infinity : told, returned);
+    domainReturn === undefined || isEntryNewer ? -Infinity : domainReturn.atMs + warmUpMs;
+  return Math.max(warmUpLeftMs === 0 ? -Infinity : stated, returned);
 }
 
-/** Lists until when some backend servers warm up, those that do, by id, milliseconds. */
+/** Lists when the warm-up of backend servers ends, by id, in milliseconds; without warm ones. */
 export function listWarming(
   servers: backendServers.BackendServers,
-  some: Iterable<backendServers.KnownServer>,
+  knownServers: Iterable<backendServers.KnownServer>,
   index: configurationIndex.ConfigurationIndex | undefined,
   now: number,
 ): Map<string, number> {
-  const times = [...some].flatMap((known) => {
+  const times = [...knownServers].flatMap((known) => {
     const { id, service } = known.entry;
     const warmUp = index?.serviceByName.get(service)?.warmUp;
-    const untilMs = warmUp && computeWarmUntil(servers, known, warmUp.durationMs);
+    const untilMs = warmUp && computeWarmUpEnd(servers, known, warmUp.durationMs);
     return untilMs !== undefined && untilMs > now ? [[id, untilMs] as const] : [];
   });
   return new Map(times);
