--- a/packages/core/src/gateway/backend-servers.test.ts
+++ b/packages/core/src/gateway/backend-servers.test.ts
@@ -2,10 +2,10 @@
 import * as nodeTest from 'node:test';
 import * as backendServers from './backend-servers.js';
 import * as serverEntries from './server-entries.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
-const { buildEntry, buildRevision } = gatewayBench;
+const { buildEntry, buildRevision } = gatewayFixture;
 const RETURN_MS = 2000;
 
 /** Returns whether the only backend server may receive new work. */
@@ -75,8 +75,8 @@
 
 test('entry received with a grant before it was read from the store', () => {
   const servers = backendServers.createBackendServers();
-  serverEntries.noteRead(servers, buildRevision(10));
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
+  serverEntries.noteReadRevision(servers, buildRevision(10));
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.equal(isUsable(servers), true);
 });
 
@@ -84,9 +84,9 @@
   // This gateway has read that a backend server is gone. The scheduler has not, and grants a
   // slot there. If the entry were added again, requests would go to a server that is gone.
   const servers = createWithOne();
-  serverEntries.noteRead(servers, buildRevision(10));
+  serverEntries.noteReadRevision(servers, buildRevision(10));
   serverEntries.removeEntry(servers, 'a', 0);
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(7) }), 0);
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(7) }), 0);
   assert.equal(isUsable(servers), false);
 });
 
@@ -97,7 +97,7 @@
     buildEntry('a', { leaving: true, revision: buildRevision(20) }),
     0,
   );
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(30) }), 0);
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(30) }), 0);
   assert.equal(isUsable(servers), false);
 });
 
@@ -106,7 +106,7 @@
   // brings its entry meanwhile. If it counted as gone, its connections would be closed with
   // the requests running on them.
   const servers = backendServers.createBackendServers();
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
+  serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.deepEqual(serverEntries.applySnapshot(servers, [], buildRevision(10), 0), []);
   assert.equal(isUsable(servers), true);
   assert.equal(serverEntries.applySnapshot(servers, [], buildRevision(11), 0)[0].change, 'gone');
--- a/packages/core/src/gateway/fleet-split.test.ts
+++ b/packages/core/src/gateway/cell-map.test.ts
@@ -3,8 +3,8 @@
 import * as scheduler from '../scheduler/index.js';
 import * as backendServers from './backend-servers.js';
 import * as serverEntries from './server-entries.js';
-import * as fleetSplit from './fleet-cellMap.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as cellMap from './cell-map.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
 const SERVICE = 'one';
@@ -12,7 +12,7 @@
 /** Adds the store entries of several backend servers. */
 function addServers(servers: backendServers.BackendServers, from: number, until: number): void {
   Array.from({ length: until - from }, (_, index) =>
-    serverEntries.applyEntry(servers, gatewayBench.buildEntry(`server-${from + index}`), 0),
+    serverEntries.applyEntry(servers, gatewayFixture.buildEntry(`server-${from + index}`), 0),
   );
 }
 
@@ -28,10 +28,10 @@
   // saw different intermediate numbers must compute the same cells; otherwise one cell would
   // have two queues.
   const servers = backendServers.createBackendServers();
-  const cellMap = fleetSplit.createFleetSplit();
+  const knownCells = cellMap.createCellMap();
   const expectSame = () =>
     assert.deepEqual(
-      fleetSplit.getServiceSplit(cellMap, servers, SERVICE, 0).cellByServer,
+      cellMap.getServiceCells(knownCells, servers, SERVICE, 0).cellByServer,
       computeUncached(servers),
     );
   addServers(servers, 0, 200);
--- a/packages/core/src/gateway/fleet-split.ts
+++ b/packages/core/src/gateway/cell-map.ts
@@ -4,7 +4,7 @@
 import * as backendServers from './backend-servers.js';
 
 /** The cells of one service. */
-export type ServiceSplit = {
+export type ServiceCells = {
   cellNames: string[];
   /** Cell names by backend server id, including those that are leaving. */
   cellByServer: Map<string, string>;
@@ -15,10 +15,10 @@
 /** Cells of backend servers, computed for a given number of cells. */
 type CellCache = { cells: number; byServer: ReadonlyMap<string, string> };
 
-export type FleetSplit = {
+export type CellMap = {
   computedMs: number;
   revision: number;
-  byService: Map<string, ServiceSplit>;
+  byService: Map<string, ServiceCells>;
   /** Caches by service. */
   cellCaches: Map<string, CellCache>;
 };
@@ -31,7 +31,7 @@
 const MAX_AGE_MS = 200;
 
 /** Creates a map that is computed at its first use. */
-export function createFleetSplit(): FleetSplit {
+export function createCellMap(): CellMap {
   return { computedMs: -Infinity, revision: -1, byService: new Map(), cellCaches: new Map() };
 }
 
@@ -54,11 +54,11 @@
 
 /** Assigns the backend servers of a service to cells. */
 function buildServiceCells(
-  cellMap: FleetSplit,
+  cellMap: CellMap,
   servers: backendServers.BackendServers,
   service: string,
   now: number,
-): ServiceSplit {
+): ServiceCells {
   const ids = backendServers.listIds(servers, service);
   const cellNames = scheduler.listCellNames(service, ids.length);
   const cellByServer = findCells(cellMap.cellCaches.get(service), cellNames, ids);
@@ -73,8 +73,8 @@
 }
 
 /** Finds the cell of a backend server in the map as last computed. */
-export function findCellOf(
-  { byService }: FleetSplit,
+export function findServerCell(
+  { byService }: CellMap,
   service: string,
   serverId: string,
 ): string | undefined {
@@ -82,12 +82,12 @@
 }
 
 /** Returns the cells of a service. */
-export function getServiceSplit(
-  cellMap: FleetSplit,
+export function getServiceCells(
+  cellMap: CellMap,
   servers: backendServers.BackendServers,
   service: string,
   now: number,
-): ServiceSplit {
+): ServiceCells {
   if (cellMap.revision !== servers.revision || now - cellMap.computedMs > MAX_AGE_MS) {
     cellMap.revision = servers.revision;
     cellMap.computedMs = now;
--- a/packages/core/src/gateway/belief.ts
+++ b/packages/core/src/gateway/configuration-lease.ts
@@ -17,14 +17,14 @@
   uptimeMs: number;
 };
 
-export type Belief = {
+export type ConfigurationLease = {
   /** When the last store call that got a response was sent; undefined before the first. */
   confirmed: ClockReading | undefined;
   /** Since when the store has returned an older configuration than a peer has, in ms. */
   behindSinceMs: number | undefined;
 };
 
-export enum Standing {
+export enum LeaseStatus {
   /** The lease holds: all requests are served. */
   CONFIRMED = 'confirmed',
   /** The lease has expired: only requests that need no credential are served. */
@@ -34,24 +34,24 @@
 }
 
 /** Creates the lease of a process that has not reached the store yet. */
-export function createBelief(): Belief {
+export function createConfigurationLease(): ConfigurationLease {
   return { confirmed: undefined, behindSinceMs: undefined };
 }
 
 /** Renews the lease after a response to a store call that was sent at the given reading. */
-export function noteConfirmed(lease: Belief, sent: ClockReading): void {
+export function noteConfirmed(lease: ConfigurationLease, sent: ClockReading): void {
   lease.confirmed = sent;
   lease.behindSinceMs = undefined;
 }
 
 /** Ends the lease because the store returns an older configuration than a peer has. */
-export function noteBehind(lease: Belief, now: number): void {
+export function noteBehind(lease: ConfigurationLease, now: number): void {
   lease.confirmed = undefined;
   lease.behindSinceMs ??= now;
 }
 
 /** Computes the age of the last confirmation, in milliseconds. */
-export function computeAge(lease: Belief, now: ClockReading): number {
+export function computeConfirmationAge(lease: ConfigurationLease, now: ClockReading): number {
   const { confirmed } = lease;
   return confirmed === undefined
     ? Infinity
@@ -68,14 +68,16 @@
  * @param leaseMs lease duration in milliseconds; Infinity if revoked credentials may be
  *   accepted while the store is unreachable
  */
-export function getStanding(
-  lease: Belief,
+export function getLeaseStatus(
+  lease: ConfigurationLease,
   hasConfiguration: boolean,
   leaseMs: number,
   now: ClockReading,
-): Standing {
+): LeaseStatus {
   if (!hasConfiguration) {
-    return Standing.UNKNOWN;
+    return LeaseStatus.UNKNOWN;
   }
-  return computeAge(lease, now) <= leaseMs ? Standing.CONFIRMED : Standing.UNCONFIRMED;
+  return computeConfirmationAge(lease, now) <= leaseMs
+    ? LeaseStatus.CONFIRMED
+    : LeaseStatus.UNCONFIRMED;
 }
--- a/packages/core/src/gateway/peer-view.ts
+++ b/packages/core/src/gateway/peer-view.ts
@@ -187,17 +187,17 @@
 }
 
 /** Counts the unreachable peers: known ones whose reports have stopped. */
-export function countSilent(view: PeerView, now: number): number {
+export function countUnreachablePeers(view: PeerView, now: number): number {
   return view.byAddress.size - listReachable(view, now).length;
 }
 
 /** Lists the addresses of the reachable peers. */
-export function listHeard(view: PeerView, now: number): string[] {
+export function listReachablePeers(view: PeerView, now: number): string[] {
   return listReachable(view, now).map(([address]) => address);
 }
 
 /** Lists the addresses of all gateways known directly or through a peer's report. */
-export function listContacts(view: PeerView): string[] {
+export function listKnownAddresses(view: PeerView): string[] {
   return [...new Set([...view.byAddress.keys(), ...view.indirectPeers.keys()])];
 }
 
@@ -216,6 +216,6 @@
  * Records a gateway that a peer named in its report. It is sent reports from now on, but counts
  * as a peer only once one of its own reports arrives: the named gateway may have left.
  */
-export function addHearsay(view: PeerView, address: string, now: number): void {
+export function addIndirectPeer(view: PeerView, address: string, now: number): void {
   view.indirectPeers.set(address, now);
 }
--- a/packages/core/src/gateway/scheduler-link.ts
+++ b/packages/core/src/gateway/scheduler-link.ts
@@ -87,7 +87,7 @@
  *
  * @param echo sequence number of the ask that the reply belongs to
  */
-export function noteAnswer(link: SchedulerLink, life: string, echo: number): void {
+export function noteReply(link: SchedulerLink, life: string, echo: number): void {
   if (link.life !== '' && link.life !== life) {
     clearAcceptance(link);
   }
--- a/packages/core/src/gateway/scheduler-ranking.ts
+++ b/packages/core/src/gateway/scheduler-ranking.ts
@@ -76,7 +76,7 @@
   ranking.computedMs = now;
   ranking.revision = view.revision;
   const all = peerView.countGateways(view);
-  ranking.reachableShare = (all - peerView.countSilent(view, now)) / all;
+  ranking.reachableShare = (all - peerView.countUnreachablePeers(view, now)) / all;
   updateOrders(ranking, listCapableGateways(view, own, now));
 }
 
@@ -95,17 +95,17 @@
   }
   ranking.addresses = addresses;
   ranking.byCell.forEach((order, cell) =>
-    ranking.byCell.set(cell, scheduler.updateSchedulers(cell, order, added, gone)),
+    ranking.byCell.set(cell, scheduler.updateSchedulerOrder(cell, order, added, gone)),
   );
 }
 
 /** Records that a scheduler did not reply. */
-export function noteSilent(ranking: SchedulerRanking, address: string, now: number): void {
+export function markUnreachable(ranking: SchedulerRanking, address: string, now: number): void {
   ranking.unreachableUntilMs.set(address, now + SKIP_MS);
 }
 
 /** Records that a scheduler has replied. */
-export function noteAnswering(ranking: SchedulerRanking, address: string): void {
+export function clearUnreachable(ranking: SchedulerRanking, address: string): void {
   ranking.unreachableUntilMs.delete(address);
 }
 
--- a/packages/core/src/gateway/server-entries.test.ts
+++ b/packages/core/src/gateway/server-entries.test.ts
@@ -2,12 +2,12 @@
 import * as nodeTest from 'node:test';
 import * as backendServers from './backend-servers.js';
 import * as evacuationChanges from './evacuation-changes.js';
-import * as gatewayBench from './mocks/gateway-bench.js';
+import * as gatewayFixture from './mocks/gateway-fixture.js';
 import * as serverEntries from './server-entries.js';
 import * as warmUpTimes from './warm-up-times.js';
 
 const { test } = nodeTest;
-const { buildEntry, buildRevision } = gatewayBench;
+const { buildEntry, buildRevision } = gatewayFixture;
 const RETURN_MS = 2000;
 const HELD_MS = 6000;
 const DOMAIN = 'd1';
@@ -80,7 +80,7 @@
   evacuationChanges.applyEvacuations(servers, [buildEvacuation(100, 1, true)], 0);
   const revision = buildRevision(90, 2);
   assert.deepEqual(evacuationChanges.applyEvacuationList(servers, [], revision, 1000), []);
-  serverEntries.noteRead(servers, revision);
+  serverEntries.noteReadRevision(servers, revision);
   assert.deepEqual(evacuationChanges.expireEvacuations(servers, 1000 + HELD_MS - 1), []);
   assert.equal(isUsable(servers, 'a', 1000 + HELD_MS - 1), false);
   assert.equal(evacuationChanges.expireEvacuations(servers, 1000 + HELD_MS).length, 1);
@@ -99,9 +99,17 @@
   // An entry of the new epoch must not be ignored as older than what was read before.
   const servers = createServers([]);
   applyRestoredSnapshot(servers, [], 90, 1000);
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(120, 1) }), 1001);
+  serverEntries.applyGrantedEntry(
+    servers,
+    buildEntry('a', { revision: buildRevision(120, 1) }),
+    1001,
+  );
   assert.equal(isUsable(servers, 'a', 1001), false);
-  serverEntries.applyTold(servers, buildEntry('a', { revision: buildRevision(91, 2) }), 1002);
+  serverEntries.applyGrantedEntry(
+    servers,
+    buildEntry('a', { revision: buildRevision(91, 2) }),
+    1002,
+  );
   assert.equal(isUsable(servers, 'a', 1002), true);
 });
 
@@ -142,7 +150,7 @@
   const entry = buildEntry('a', { revision: buildRevision(40, 1) });
   const servers = createServers([entry]);
   serverEntries.removeEntry(servers, 'a', 500);
-  serverEntries.applyTold(servers, { ...entry, revision: buildRevision(101, 1) }, 600);
+  serverEntries.applyGrantedEntry(servers, { ...entry, revision: buildRevision(101, 1) }, 600);
   assert.equal(isUsable(servers, 'a', 600), true);
 });
 
--- a/packages/core/src/gateway/server-entries.ts
+++ b/packages/core/src/gateway/server-entries.ts
@@ -184,7 +184,7 @@
 }
 
 /** Records that this gateway has read everything up to a store revision. */
-export function noteRead(
+export function noteReadRevision(
   servers: backendServers.BackendServers,
   revision: storeRevision.StoreRevision,
 ): void {
@@ -202,7 +202,7 @@
  * What this gateway has read from the store takes precedence: an unknown entry that is not newer
  * than that has been removed since.
  */
-export function applyTold(
+export function applyGrantedEntry(
   servers: backendServers.BackendServers,
   entry: backendServerEntry.BackendServerEntry,
   now: number,
@@ -229,7 +229,7 @@
     .map(([id]) => id);
   const isNewEpoch = revision.epoch > servers.readRevision.epoch;
   const applyOne = isNewEpoch ? applyRestored : applyEntry;
-  noteRead(servers, revision);
+  noteReadRevision(servers, revision);
   return [
     ...entries.map((entry) => applyOne(servers, entry, now)),
     ...missing.map((id) => removeEntry(servers, id, now)),
--- a/packages/core/src/gateway/server-statements.ts
+++ b/packages/core/src/gateway/server-statements.ts
@@ -43,7 +43,7 @@
 };
 
 /** The statements of one response. */
-export type AnswerStatement = {
+export type ResponseStatement = {
   /** When the request was sent, in milliseconds since the Unix epoch. */
   sentWallMs: number;
   isLeaving: boolean;
@@ -65,7 +65,7 @@
 };
 
 /** The statement of a response that states nothing. */
-export const NOTHING_STATED: AnswerStatement = {
+export const EMPTY_STATEMENT: ResponseStatement = {
   sentWallMs: 0,
   isLeaving: false,
   backoffMs: undefined,
@@ -153,7 +153,7 @@
 /** Finds the rate limit that applies after a response. */
 function findRateLimit(
   known: StatedRateLimit | undefined,
-  { perSecond, answered }: AnswerStatement,
+  { perSecond, answered }: ResponseStatement,
   now: number,
 ): StatedRateLimit | undefined {
   const isChange = perSecond !== undefined || isLimitLifted(known, answered);
@@ -165,7 +165,7 @@
   server: string,
   before: ServerStatement | undefined,
   after: ServerStatement,
-  { backoffMs }: AnswerStatement,
+  { backoffMs }: ResponseStatement,
   now: number,
 ): StatementChange[] {
   const changes: StatementChange[] = [];
@@ -189,7 +189,7 @@
 export function noteStatement(
   statements: ServerStatements,
   life: ServerLife,
-  stated: AnswerStatement,
+  stated: ResponseStatement,
   now: number,
 ): StatementChange[] {
   const known = getStatement(statements, life);
--- a/packages/core/src/gateway/store-answers.ts
+++ b/packages/core/src/gateway/store-responses.ts
@@ -7,16 +7,16 @@
  * lease until the store has caught up, so that callers with keys are rejected and find another
  * gateway.
  */
-import * as belief from './belief.js';
+import * as configurationLease from './configuration-lease.js';
 import type * as gatewayState from './gateway-state.js';
 import * as peerView from './peer-view.js';
 
 /** The consequences of a store response. */
-export type StoreAnswerOutcome = {
+export type StoreResponseOutcome = {
   /** The next call must list everything: changes alone may omit something for a moment. */
   isListDue: boolean;
   /** Set if the store has fallen behind the peers or caught up with them; for the log. */
-  news: 'store-behind' | 'store-caught-up' | undefined;
+  logEvent: 'store-behind' | 'store-caught-up' | undefined;
 };
 
 /**
@@ -41,26 +41,26 @@
  * @param sent clock reading at the time the call was sent
  * @param isList whether the response lists everything; otherwise it contains changes
  */
-export function noteStoreAnswer(
+export function noteStoreResponse(
   state: gatewayState.GatewayState,
-  sent: belief.ClockReading,
+  sent: configurationLease.ClockReading,
   isList: boolean,
   now: number,
-): StoreAnswerOutcome {
-  const { belief: known } = state;
+): StoreResponseOutcome {
+  const { lease: known } = state;
   const isBehind = isBehindPeers(state, sent.steadyMs);
   const wasBehind = known.behindSinceMs !== undefined;
   if (!isBehind) {
-    belief.noteConfirmed(known, sent);
-    return { isListDue: false, news: wasBehind ? 'store-caught-up' : undefined };
+    configurationLease.noteConfirmed(known, sent);
+    return { isListDue: false, logEvent: wasBehind ? 'store-caught-up' : undefined };
   }
   if (!isList && !wasBehind) {
-    belief.noteConfirmed(known, sent);
-    return { isListDue: true, news: undefined };
+    configurationLease.noteConfirmed(known, sent);
+    return { isListDue: true, logEvent: undefined };
   }
-  belief.noteBehind(known, now);
+  configurationLease.noteBehind(known, now);
   if (now - (known.behindSinceMs ?? now) > MAX_BEHIND_MS) {
     known.confirmed = sent;
   }
-  return { isListDue: false, news: wasBehind ? undefined : 'store-behind' };
+  return { isListDue: false, logEvent: wasBehind ? undefined : 'store-behind' };
 }
