--- a/packages/core/src/gateway/ask-messages.ts
+++ b/packages/core/src/gateway/ask-messages.ts
@@ -53,15 +53,16 @@
 
 /** Lists the statements of a cell's backend servers that are sent to its scheduler. */
 function listStatements(
-  { servers, cellMap: split }: gatewayState.GatewayState,
+  { servers, cellMap: knownCells }: gatewayState.GatewayState,
   { cell, service }: schedulerLink.SchedulerLink,
   now: number,
 ): schema.ServerStatement[] {
   return [...servers.statements]
     .filter(([id, statement]) => {
       const bornMs = servers.byId.get(id)?.entry.bornMs;
-      const isAboutPresentLife = bornMs !== undefined && serverStatements.isAboutLife(statement, bornMs);
-      const isInCell = cellMap.findServerCell(split, service, id) === cell;
+      const isAboutPresentLife =
+        bornMs !== undefined && serverStatements.isAboutLife(statement, bornMs);
+      const isInCell = cellMap.findServerCell(knownCells, service, id) === cell;
       return isAboutPresentLife && isInCell && serverStatements.isReportable(statement, now);
     })
     .map(([serverId, { bornMs, sentWallMs, leavingSinceMs, backoffUntilMs, rateLimit }]) =>
--- a/packages/core/src/gateway/cell-map.ts
+++ b/packages/core/src/gateway/cell-map.ts
@@ -15,6 +15,7 @@
 /** Cells of backend servers, computed for a given number of cells. */
 type CellCache = { cells: number; byServer: ReadonlyMap<string, string> };
 
+/** The cells of all services, recomputed when backend servers change or the map is too old. */
 export type CellMap = {
   computedMs: number;
   revision: number;
--- a/packages/core/src/gateway/configuration-lease.test.ts
+++ b/packages/core/src/gateway/configuration-lease.test.ts
@@ -33,6 +33,12 @@
 
 test('no configuration or no confirmation', () => {
   const lease = configurationLease.createConfigurationLease();
-  assert.equal(configurationLease.getLeaseStatus(lease, false, LEASE_MS, CONFIRMED), configurationLease.LeaseStatus.UNKNOWN);
-  assert.equal(configurationLease.getLeaseStatus(lease, true, LEASE_MS, CONFIRMED), configurationLease.LeaseStatus.UNCONFIRMED);
+  assert.equal(
+    configurationLease.getLeaseStatus(lease, false, LEASE_MS, CONFIRMED),
+    configurationLease.LeaseStatus.UNKNOWN,
+  );
+  assert.equal(
+    configurationLease.getLeaseStatus(lease, true, LEASE_MS, CONFIRMED),
+    configurationLease.LeaseStatus.UNCONFIRMED,
+  );
 });
--- a/packages/core/src/gateway/evacuations.test.ts
+++ b/packages/core/src/gateway/evacuations.test.ts
@@ -19,7 +19,10 @@
   assert.equal(evacuations.applyEvacuation(known, buildChange(6, true), 20), undefined);
   assert.ok(evacuations.applyEvacuation(known, buildChange(7, false), 30));
   assert.equal(evacuations.isEvacuated(known, 'd1'), false);
-  assert.deepEqual(evacuations.findDomainReturn(known, 'd1'), { atMs: 30, revision: buildRevision(7) });
+  assert.deepEqual(evacuations.findDomainReturn(known, 'd1'), {
+    atMs: 30,
+    revision: buildRevision(7),
+  });
 });
 
 test('older change that is read late', () => {
--- a/packages/core/src/gateway/response-statements.ts
+++ b/packages/core/src/gateway/response-statements.ts
@@ -6,7 +6,10 @@
 import type * as serverStatements from './server-statements.js';
 
 /** Statements in the headers of a response. */
-export type HeaderStatement = Omit<serverStatements.ResponseStatement, 'answered' | 'sentWallMs'> & {
+export type HeaderStatement = Omit<
+  serverStatements.ResponseStatement,
+  'answered' | 'sentWallMs'
+> & {
   /** The backend server has signed the response. */
   isSigned: boolean;
 };
--- a/packages/core/src/gateway/scheduler-ranking.ts
+++ b/packages/core/src/gateway/scheduler-ranking.ts
@@ -30,9 +30,9 @@
  */
 const SKIP_MS = 1500;
 /**
- * A gateway that skips more schedulers than this assumes that it is cut off from the others.
- * Another gateway then schedules the cell for them, and this one uses only the share of the
- * slots that corresponds to its share of the callers.
+ * A gateway that skips more than this number of schedulers ahead of itself assumes that it is cut
+ * off from the others. Another gateway then schedules the cell for them, and this one uses only
+ * the share of the slots that corresponds to its share of the callers.
  */
 const MAX_SKIPPED = 2;
 /** A gateway also assumes this if less than this share of the known gateways is reachable. */
@@ -110,7 +110,11 @@
 }
 
 /** Returns whether a scheduler is skipped. */
-function isUnreachable({ unreachableUntilMs }: SchedulerRanking, address: string, now: number): boolean {
+function isUnreachable(
+  { unreachableUntilMs }: SchedulerRanking,
+  address: string,
+  now: number,
+): boolean {
   return now < (unreachableUntilMs.get(address) ?? -Infinity);
 }
 
@@ -129,7 +133,9 @@
   const order =
     ranking.byCell.get(cellName) ?? scheduler.rankSchedulers(cellName, ranking.addresses);
   ranking.byCell.set(cellName, order);
-  const skipped = order.findIndex(({ id }) => id === own.address || !isUnreachable(ranking, id, now));
+  const skipped = order.findIndex(
+    ({ id }) => id === own.address || !isUnreachable(ranking, id, now),
+  );
   const address = skipped === -1 ? own.address : order[skipped].id;
   const { reachableShare } = ranking;
   const isCutOff = skipped === -1 || skipped > MAX_SKIPPED || reachableShare < MIN_REACHABLE_SHARE;
--- a/packages/core/src/gateway/server-entries.test.ts
+++ b/packages/core/src/gateway/server-entries.test.ts
@@ -66,7 +66,10 @@
   const servers = createServers([]);
   evacuationChanges.applyEvacuations(servers, [buildEvacuation(100, 1, true)], 0);
   evacuationChanges.applyEvacuations(servers, [buildEvacuation(110, 1, false)], 1);
-  assert.equal(evacuationChanges.applyEvacuations(servers, [buildEvacuation(95, 2, true)], 2).length, 1);
+  assert.equal(
+    evacuationChanges.applyEvacuations(servers, [buildEvacuation(95, 2, true)], 2).length,
+    1,
+  );
   assert.equal(
     evacuationChanges.applyEvacuations(servers, [buildEvacuation(130, 1, false)], 3).length,
     0,
@@ -142,7 +145,12 @@
   const entry = buildEntry('a', { revision: buildRevision(40, 1) });
   const servers = createServers([entry]);
   serverEntries.removeEntry(servers, 'a', 500);
-  applyRestoredSnapshot(servers, [{ ...entry, bornMs: 2, revision: buildRevision(91, 2) }], 92, 1000);
+  applyRestoredSnapshot(
+    servers,
+    [{ ...entry, bornMs: 2, revision: buildRevision(91, 2) }],
+    92,
+    1000,
+  );
   assert.equal(isUsable(servers, 'a', 1001), true);
 });
 
--- a/packages/core/src/gateway/server-entries.ts
+++ b/packages/core/src/gateway/server-entries.ts
@@ -241,7 +241,9 @@
   servers: backendServers.BackendServers,
   now: number,
 ): MembershipChange[] {
-  const expired = [...servers.byId].filter(([, known]) => now >= (known.missingUntilMs ?? Infinity));
+  const expired = [...servers.byId].filter(
+    ([, known]) => now >= (known.missingUntilMs ?? Infinity),
+  );
   [...servers.departed]
     .filter(([, { atMs }]) => now - atMs > DEPARTURE_RETENTION_MS)
     .forEach(([id]) => servers.departed.delete(id));
--- a/packages/core/src/gateway/server-statements.test.ts
+++ b/packages/core/src/gateway/server-statements.test.ts
@@ -57,7 +57,7 @@
   assert.ok(serverStatements.isLeaving(servers.statements, LIFE));
 });
 
-test('statements of earlier lives are dropped', () => {
+test('statements of earlier incarnations are dropped', () => {
   const servers = createServers();
   backendServers.applyStatement(servers, LIFE, LEAVING, 10);
   serverEntries.applyEntry(servers, gatewayFixture.buildEntry('a', { bornMs: 2 }), 20);
--- a/packages/core/src/gateway/server-statements.ts
+++ b/packages/core/src/gateway/server-statements.ts
@@ -142,7 +142,10 @@
  * Responses may arrive out of order: one from before the overload may arrive after the first
  * one that states the limit.
  */
-function isLimitLifted(known: StatedRateLimit | undefined, answered: AnsweredRequest | undefined): boolean {
+function isLimitLifted(
+  known: StatedRateLimit | undefined,
+  answered: AnsweredRequest | undefined,
+): boolean {
   if (answered === undefined) {
     return false;
   }
--- a/packages/core/src/gateway/store-responses.test.ts
+++ b/packages/core/src/gateway/store-responses.test.ts
@@ -33,13 +33,13 @@
 
 /** Returns whether requests with a credential are served. */
 function isConfirmed(state: gatewayState.GatewayState, now: number): boolean {
-  const standing = configurationLease.getLeaseStatus(
+  const status = configurationLease.getLeaseStatus(
     state.lease,
     true,
     state.bounds.leaseMs,
     buildClocks(now),
   );
-  return standing === configurationLease.LeaseStatus.CONFIRMED;
+  return status === configurationLease.LeaseStatus.CONFIRMED;
 }
 
 test('list with an older version than a peer does not renew the lease', () => {
@@ -48,7 +48,7 @@
   const state = createState();
   applyVersion(state, 2, 5);
   const outcome = storeResponses.noteStoreResponse(state, buildClocks(10), true, 20);
-  assert.deepEqual(outcome, { isListDue: false, news: 'store-behind' });
+  assert.deepEqual(outcome, { isListDue: false, logEvent: 'store-behind' });
   assert.equal(isConfirmed(state, 20), false);
 });
 
@@ -57,7 +57,7 @@
   const state = createState();
   applyVersion(state, 2, 5);
   const outcome = storeResponses.noteStoreResponse(state, buildClocks(10), false, 20);
-  assert.deepEqual(outcome, { isListDue: true, news: undefined });
+  assert.deepEqual(outcome, { isListDue: true, logEvent: undefined });
   assert.ok(isConfirmed(state, 20));
   storeResponses.noteStoreResponse(state, buildClocks(30), true, 40);
   assert.equal(isConfirmed(state, 40), false);
@@ -68,7 +68,7 @@
   const state = createState();
   applyVersion(state, 2, 15);
   const outcome = storeResponses.noteStoreResponse(state, buildClocks(10), true, 20);
-  assert.deepEqual(outcome, { isListDue: false, news: undefined });
+  assert.deepEqual(outcome, { isListDue: false, logEvent: undefined });
   assert.ok(isConfirmed(state, 20));
 });
 
--- a/packages/core/src/gateway/store-responses.ts
+++ b/packages/core/src/gateway/store-responses.ts
@@ -47,20 +47,20 @@
   isList: boolean,
   now: number,
 ): StoreResponseOutcome {
-  const { lease: known } = state;
+  const { lease } = state;
   const isBehind = isBehindPeers(state, sent.steadyMs);
-  const wasBehind = known.behindSinceMs !== undefined;
+  const wasBehind = lease.behindSinceMs !== undefined;
   if (!isBehind) {
-    configurationLease.noteConfirmed(known, sent);
+    configurationLease.noteConfirmed(lease, sent);
     return { isListDue: false, logEvent: wasBehind ? 'store-caught-up' : undefined };
   }
   if (!isList && !wasBehind) {
-    configurationLease.noteConfirmed(known, sent);
+    configurationLease.noteConfirmed(lease, sent);
     return { isListDue: true, logEvent: undefined };
   }
-  configurationLease.noteBehind(known, now);
-  if (now - (known.behindSinceMs ?? now) > MAX_BEHIND_MS) {
-    known.confirmed = sent;
+  configurationLease.noteBehind(lease, now);
+  if (now - (lease.behindSinceMs ?? now) > MAX_BEHIND_MS) {
+    lease.confirmed = sent;
   }
   return { isListDue: false, logEvent: wasBehind ? undefined : 'store-behind' };
 }
