--- a/packages/core/src/gateway/ask-messages.ts
+++ b/packages/core/src/gateway/ask-messages.ts
@@ -2,7 +2,7 @@
  * Builds the asks (`ScheduleAsk` messages to the schedulers of cells) and decides when to send
  * them.
  *
- * Each ask carries all requests that this gateway has in flight in the cell, and asks without
+ * Each ask reports all requests that this gateway has in flight in the cell, and asks without
  * a reply are sent again. Asks that are lost, duplicated or late therefore only cost time.
  */
 import * as schema from '@toucanproxy/schema';
--- a/packages/core/src/gateway/configuration.ts
+++ b/packages/core/src/gateway/configuration.ts
@@ -19,16 +19,16 @@
   /** Begins and ends with a slash. */
   prefix: string;
   kind: RouteKind;
-  /** Maximum total time of a request, in milliseconds. */
+  /** Maximum time that a request is kept, in milliseconds. */
   timeoutMs: number;
-  /** Latency target: a response that begins within this time is on time, in milliseconds. */
+  /** Latency target: a response within this time counts as on time, in milliseconds. */
   targetMs: number;
   /** How long callers wait for the first part of a response, in milliseconds. */
   patienceMs: number;
   /** Priority; 0 is the most urgent. */
   urgency: number;
   targets: RouteTarget[];
-  /** Maximum number of attempts per request. */
+  /** Maximum number of times that one request is run. */
   maxAttempts: number;
   /** Requests need no credential. */
   isPublic: boolean;
@@ -46,11 +46,11 @@
   tokensPerEvent: number;
 };
 
-/** How long the backend servers of a service warm up, and their request rate meanwhile. */
+/** How long the backend servers of a service warm up, and what they can take meanwhile. */
 export type WarmUpTraits = {
   /** Duration of the warm-up after a start, in milliseconds. */
   durationMs: number;
-  /** Maximum requests per second, over all gateways together. */
+  /** Requests per second that one backend server can take, from all gateways together. */
   perSecond: number;
 };
 
--- a/packages/core/src/gateway/peer-view.ts
+++ b/packages/core/src/gateway/peer-view.ts
@@ -50,7 +50,7 @@
  * tolerance.
  */
 export const REPORT_MS = 200;
-/** Number of peers that a round of reports goes to: 16 times five 1 KB datagrams are 80 KB/s. */
+/** Peers that each round of reports is sent to: 16 times five 1 KB datagrams are 80 KB/s. */
 export const MAX_FAN_OUT = 16;
 /** A peer is reachable for at least this time after a report, in milliseconds: five rounds. */
 const MIN_REACHABLE_MS = 1000;
