--- a/packages/core/src/gateway/allowed-domains.ts
+++ b/packages/core/src/gateway/allowed-domains.ts
@@ -1,15 +1,18 @@
 /**
- * Which failure domains a request may be sent to.
+ * Determines which failure domains a request may be sent to.
  *
- * Two things exclude one: operators have had it evacuated, or it lies outside the regions
- * that the route or the workspace of the request is bound to. The body of a request goes
- * to backend servers only, never to another gateway, so that nothing else is to be kept.
+ * A domain is excluded if operators have evacuated it, or if it lies outside the regions to
+ * which the route or the workspace of the request is restricted. Gateways send request bodies
+ * only to backend servers, never to other gateways, so checking the backend server suffices.
  */
 import * as evacuations from './evacuations.js';
 import type * as gatewayState from './gateway-state.js';
 import type * as regionBinding from './region-binding.js';
 
-/** Tells whether a request that is bound to some regions may be served in a domain. */
+/**
+ * Returns whether a request may be served in a failure domain. A request that is restricted to
+ * regions may not use a domain whose region is unknown.
+ */
 export function isInRegions(
   { regionByDomain }: gatewayState.GatewayState,
   regions: regionBinding.RegionBinding,
@@ -19,7 +22,7 @@
   return regions === undefined || (region !== undefined && regions.has(region));
 }
 
-/** Lists the failure domains of known backend servers that a request may not be sent to. */
+/** Lists the evacuated domains and those of known backend servers outside the request's regions. */
 export function listExcluded(
   state: gatewayState.GatewayState,
   regions: regionBinding.RegionBinding,
--- a/packages/core/src/gateway/assignment.test.ts
+++ b/packages/core/src/gateway/assignment.test.ts
@@ -11,17 +11,17 @@
 import * as requestEnd from './request-end.js';
 
 const { test } = nodeTest;
-const { buildArrived, buildClocks, buildRoute, createTestGateway: createBench } = gatewayFixture;
+const { buildArrived, buildClocks, buildRoute, createTestGateway } = gatewayFixture;
 
-/** Lists the refusals among assignments by code. */
+/** Lists the result codes of the refused requests. */
 function listRefusals(assignments: assignment.Assignment[]): string[] {
   return assignments.flatMap((one) =>
     one.kind === 'refuse' ? [schema.ResultCode[one.refusal.code]] : [],
   );
 }
 
-test('never more than the places', () => {
-  const state = createBench(['a', 'bb']);
+test('no more requests are sent than there are slots', () => {
+  const state = createTestGateway(['a', 'bb']);
   for (let index = 0; index < 10; index += 1) {
     requestAdmission.admitRequest(state, buildArrived(String(index)), buildClocks(0));
   }
@@ -29,10 +29,10 @@
   assert.equal(state.inFlight.get('a'), 2);
 });
 
-test('key taken away while a request waits', () => {
-  // A request waits for a place; meanwhile a new version takes its key away. It
-  // must not run after that.
-  const state = createBench([]);
+test('credential revoked while a request waits', () => {
+  // A new configuration revokes the credential of a request that waits for a slot. The request
+  // must not run.
+  const state = createTestGateway([]);
   requestAdmission.admitRequest(state, buildArrived('1'), buildClocks(0));
   const next = gatewayFixture.buildConfiguration(2, [buildRoute()], []);
   state.index = configurationIndex.buildConfigurationIndex(next);
@@ -42,10 +42,10 @@
   ]);
 });
 
-test('lease over while a request waits', () => {
-  // The process is suspended with a request in hand and wakes after the lease. It
-  // acts on what it believed before; the request is refused as not run.
-  const state = createBench(['a']);
+test('lease expired while a request waits', () => {
+  // The process is suspended while a request waits and resumes after the configuration lease has
+  // expired. Its configuration may be outdated, so the request is refused as not run.
+  const state = createTestGateway(['a']);
   requestAdmission.admitRequest(state, buildArrived('1'), buildClocks(0));
   const woken = { steadyMs: 10, wallMs: 9000, uptimeMs: 9000 };
   assert.deepEqual(listRefusals(gatewayFixture.assignWaiting(state, woken)), [
@@ -53,8 +53,8 @@
   ]);
 });
 
-test('public route needs no lease', () => {
-  const state = createBench(['a'], [buildRoute({ isPublic: true })]);
+test('public route needs no configuration lease', () => {
+  const state = createTestGateway(['a'], [buildRoute({ isPublic: true })]);
   const arrived = buildArrived('1', { credential: undefined });
   const late = buildClocks(60_000);
   assert.equal(requestAdmission.admitRequest(state, arrived, late).kind, 'admitted');
@@ -62,12 +62,12 @@
 });
 
 test('long prompt waits for a fast engine', () => {
-  // The fast engine is full; a slow one has a place, where the first token of a
-  // long prompt takes a second too long. A short prompt behind it would be on
-  // time there. The long one waits, the short one goes.
-  const state = createBench(['fast', 'slow']);
-  const fast = gatewayFixture.getLoad(state, 'fast');
-  const slow = gatewayFixture.getLoad(state, 'slow');
+  // The fast engine is full and the slow one has a free slot. There, the first token of a long
+  // prompt would be a second late, but that of a short prompt would be on time. The long prompt
+  // waits and the short one, although queued behind it, is sent.
+  const state = createTestGateway(['fast', 'slow']);
+  const fast = gatewayFixture.getServerHealth(state, 'fast');
+  const slow = gatewayFixture.getServerHealth(state, 'slow');
   Object.assign(fast.pace, { unitMs: 3, samples: 5 });
   Object.assign(slow.pace, { unitMs: 15, samples: 5 });
   gatewayFixture.setInFlight(state, 'fast', 2);
@@ -81,12 +81,12 @@
   );
 });
 
-test('long answer is not begun where it cannot end', () => {
-  // A slow engine is free and a fast one is full. The answer takes four seconds on
-  // the slow one and its caller leaves after three: it waits for the fast one.
-  const state = createBench(['fast', 'slow']);
-  const fast = gatewayFixture.getLoad(state, 'fast');
-  const slow = gatewayFixture.getLoad(state, 'slow');
+test('long response is not started where it cannot be completed in time', () => {
+  // A slow engine is free and a fast one is full. The response would take four seconds on the slow
+  // one, but the caller's deadline is in three, so the request waits for the fast one.
+  const state = createTestGateway(['fast', 'slow']);
+  const fast = gatewayFixture.getServerHealth(state, 'fast');
+  const slow = gatewayFixture.getServerHealth(state, 'slow');
   Object.assign(fast.pace, { unitMs: 20, samples: 5 });
   Object.assign(slow.pace, { unitMs: 80, samples: 5 });
   gatewayFixture.setInFlight(state, 'fast', 2);
@@ -100,14 +100,15 @@
 });
 
 test('burst of twice the capacity', () => {
-  // Twice what the engines can do arrives for ten seconds, half of it urgent. The
-  // urgent half is served on time, and what is turned away is told soon after its
-  // target of 0.8 s, once its rank has stalled, not when its caller leaves at 3.2 s.
+  // For ten seconds, requests arrive at twice the capacity of the engines, half of them urgent.
+  // The urgent ones are served on time. The others are refused soon after their target of 0.8 s,
+  // as soon as requests of their rank no longer get slots, and not only when their callers
+  // disconnect at 3.2 s.
   const routes = [
     buildRoute({ name: 'urgent', prefix: '/a/', urgency: 0 }),
     buildRoute({ name: 'other', prefix: '/b/', urgency: 1 }),
   ];
-  const state = createBench(['a', 'bb'], routes);
+  const state = createTestGateway(['a', 'bb'], routes);
   const runMs = 400;
   const running: { endMs: number; request: assignment.Assignment['request'] }[] = [];
   const count = { urgent: 0, urgentInTime: 0, other: 0, otherSent: 0 };
@@ -120,7 +121,7 @@
         running.splice(running.indexOf(one), 1);
         requestEnd.endRequest(state, one.request);
       });
-    // Four places at 400 ms serve one request in 100 ms; two arrive.
+    // Four slots at 400 ms a request serve one request each 100 ms, and two arrive.
     if (now % 100 === 0) {
       ['/a/x', '/b/x'].forEach((path) => {
         requestAdmission.admitRequest(
@@ -149,12 +150,12 @@
   assert.ok(Math.max(...heldMs) <= 1600, String(Math.max(...heldMs)));
 });
 
-test('beyond the declared quota goes last', () => {
-  // One workspace sends more than its declared quota, within the tolerance; another
-  // one sends a request of a less urgent tier within its own. A place becomes free:
-  // the surplus of the first must not have the request of the second late.
+test('requests beyond the declared quota go last', () => {
+  // One workspace sends more than its declared quota, but within the tolerance. Another one sends
+  // a request of a less urgent tier within its quota. When a slot becomes free, the excess of the
+  // first workspace must not delay the request of the second.
   const routes = [buildRoute(), buildRoute({ name: 'later', prefix: '/b/', urgency: 1 })];
-  const state = createBench([], routes);
+  const state = createTestGateway([], routes);
   state.bounds.quotaTolerance = { overage: 1, slack: 10_000, windowMs: 8000 };
   const unit = configuration.QuotaUnit.TOKENS;
   const quota = { unit, perSecond: 100, burst: 1000, defaultTokens: 10 };
--- a/packages/core/src/gateway/assignment.ts
+++ b/packages/core/src/gateway/assignment.ts
@@ -1,4 +1,4 @@
-/** Sends requests that were granted a place, and refuses those that get none. */
+/** Assigns requests to the slots that they were granted, and refuses those that get none. */
 import * as schema from '@toucanproxy/schema';
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as retryBudget from '../shared/retry-budget.js';
@@ -15,7 +15,7 @@
 import * as refusal from './refusal.js';
 import * as regionBinding from './region-binding.js';
 import * as requestEnd from './request-end.js';
-import * as rights from './rights.js';
+import * as authorization from './authorization.js';
 import * as serverAdmission from './server-admission.js';
 import * as unservableRequests from './unservable-requests.js';
 
@@ -24,11 +24,11 @@
       kind: 'send';
       request: gatewayRequest.GatewayRequest;
       server: backendServerEntry.BackendServerEntry;
-      /** Address of the gateway that granted the place. */
+      /** Address of the gateway that granted the slot. */
       scheduler: string;
     }
   | { kind: 'refuse'; request: gatewayRequest.GatewayRequest; refusal: refusal.Refusal }
-  /** Its place could not be used; it waits on. */
+  /** The granted slot could not be used; the request keeps waiting. */
   | {
       kind: 'waitOn';
       request: gatewayRequest.GatewayRequest;
@@ -36,43 +36,43 @@
       reason: serverAdmission.UnusableReason;
     };
 
-/** A message to another gateway. */
+/** A message to another gateway; `to` is its address. */
 export type OutgoingMessage =
   | { kind: 'ask'; to: string; ask: schema.ScheduleAsk }
   | { kind: 'reply'; to: string; reply: schema.ScheduleReply };
 
-/** What follows from the present state. */
-export type Progress = {
+/** Results of one call of `advance`. */
+export type AdvanceResult = {
   assignments: Assignment[];
   outgoing: OutgoingMessage[];
-  /** What this gateway's own scheduler decided. */
+  /** Decisions of this gateway's own scheduler, for the log. */
   notes: scheduler.SchedulingDecision[];
 };
 
 /**
- * Passes between this gateway and its own scheduler in one call: a grant that cannot be
- * used is told back and its place given out again. Bounded, so that a place that none of
- * the waiting requests can use does not go round for ever.
+ * Maximum number of exchanges between this gateway and its own scheduler in one call. A grant
+ * that cannot be used is returned, and its slot is granted again. Without the limit, a slot that
+ * none of the waiting requests can use would be granted and returned forever.
  */
-const MAX_PASSES = 4;
-/** Cells that a request asks before it is refused: the emptier of two may be full. */
+const MAX_ROUNDS = 4;
+/** Cells that a request asks before it is refused; even the less loaded of two may be full. */
 const MAX_CELLS_ASKED = 2;
 
 /**
- * Checks a waiting request against the configuration in force, and against the
- * age of what is known. It may have waited through a change or a freeze.
+ * Checks a waiting request against the current configuration and the lease on it. While it
+ * waited, the configuration may have changed or the process may have been suspended.
  */
-function findObstacle(
+function findRefusal(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   clocks: configurationLease.ClockReading,
 ): refusal.Refusal | undefined {
-  const decision = rights.findRights(state, request.arrived, clocks);
+  const decision = authorization.checkAuthorization(state, request.arrived, clocks);
   if (decision.kind === 'refused') {
     return decision.refusal;
   }
   const version = state.index?.configuration.version ?? 0;
-  const { route, workspace } = decision.rights;
+  const { route, workspace } = decision.authorization;
   request.regions = regionBinding.computeRegions(route, workspace);
   const allowed = route.targets.some(
     (target) => target.service === request.service && target.weight > 0,
@@ -80,10 +80,13 @@
   request.version = version;
   return allowed
     ? undefined
-    : refusal.buildRefusal(schema.ResultCode.NO_BACKEND_SERVER, refusal.ELSEWHERE_RETRY_AFTER_MS);
+    : refusal.buildRefusal(
+        schema.ResultCode.NO_BACKEND_SERVER,
+        refusal.OTHER_GATEWAY_RETRY_AFTER_MS,
+      );
 }
 
-/** Sends a request to the place that it was granted. */
+/** Assigns a request to the slot that it was granted, if that is still allowed. */
 function applyGranted(
   state: gatewayState.GatewayState,
   granted: Extract<scheduleReplies.ReplyOutcome, { kind: 'granted' }>,
@@ -91,12 +94,12 @@
 ): Assignment[] {
   const { request, serverId, idleFirstMs, entry, isRateLimited } = granted;
   const now = clocks.steadyMs;
-  const obstacle = findObstacle(state, request, clocks);
-  if (obstacle !== undefined) {
+  const notRunRefusal = findRefusal(state, request, clocks);
+  if (notRunRefusal !== undefined) {
     state.schedulingTotals.grantsUnused += 1;
     pendingAsks.markLinkDirty(state, serverId, request.service);
-    const told = requestEnd.refuseWaiting(state, request, obstacle);
-    return [{ kind: 'refuse', request, refusal: told }];
+    const finalRefusal = requestEnd.refuseWaiting(state, request, notRunRefusal);
+    return [{ kind: 'refuse', request, refusal: finalRefusal }];
   }
   if (entry !== undefined) {
     serverEntries.applyGrantedEntry(state.servers, entry, now);
@@ -122,7 +125,7 @@
   return [{ kind: 'send', request, server: found.server, scheduler: granted.scheduler }];
 }
 
-/** Asks another cell for a request that one has declined, or refuses it. */
+/** Asks another cell on behalf of a request that one has declined, or refuses the request. */
 function applyDeclined(
   state: gatewayState.GatewayState,
   declined: Extract<scheduleReplies.ReplyOutcome, { kind: 'declined' }>,
@@ -138,11 +141,11 @@
   }
   const { SHED, DEADLINE_UNREACHABLE } = schema.ResultCode;
   const notRun = refusal.buildRefusal(isOnArrival ? SHED : DEADLINE_UNREACHABLE, retryAfterMs);
-  const told = requestEnd.refuseWaiting(state, request, notRun);
-  return [{ kind: 'refuse', request, refusal: told }];
+  const finalRefusal = requestEnd.refuseWaiting(state, request, notRun);
+  return [{ kind: 'refuse', request, refusal: finalRefusal }];
 }
 
-/** Takes in what a scheduler answers. */
+/** Applies the reply of a scheduler. */
 export function applyReply(
   state: gatewayState.GatewayState,
   reply: schema.ScheduleReply,
@@ -157,11 +160,14 @@
     );
 }
 
-/** Asks schedulers once, and lets this gateway's own one decide. */
-function passOnce(
+/**
+ * Collects asks, runs this gateway's own scheduler and applies its replies. Returns whether that
+ * scheduler granted or declined anything, so that another round may be useful.
+ */
+function runSchedulingRound(
   state: gatewayState.GatewayState,
   clocks: configurationLease.ClockReading,
-  progress: Progress,
+  result: AdvanceResult,
 ): boolean {
   const now = clocks.steadyMs;
   const findServers = (cellName: string) => cellServers.findCellServers(state, cellName, now);
@@ -169,43 +175,43 @@
     if (to === state.address) {
       scheduler.receiveAsk(state.scheduler, ask, now);
     } else {
-      progress.outgoing.push({ kind: 'ask', to, ask });
+      result.outgoing.push({ kind: 'ask', to, ask });
     }
   });
-  progress.notes.push(...scheduler.scheduleRequests(state.scheduler, findServers, now));
+  result.notes.push(...scheduler.scheduleRequests(state.scheduler, findServers, now));
   const replies = scheduler.collectReplies(state.scheduler, findServers, now);
   const own = replies.filter(({ to }) => to === state.address);
   replies
     .filter(({ to }) => to !== state.address)
-    .forEach(({ to, reply }) => progress.outgoing.push({ kind: 'reply', to, reply }));
-  progress.assignments.push(...own.flatMap(({ reply }) => applyReply(state, reply, clocks)));
+    .forEach(({ to, reply }) => result.outgoing.push({ kind: 'reply', to, reply }));
+  result.assignments.push(...own.flatMap(({ reply }) => applyReply(state, reply, clocks)));
   return own.some(({ reply }) => reply.grants.length + reply.refusals.length > 0);
 }
 
-/** Does what can be done now: asks for places, schedules, and takes in own answers. */
+/** Does all that is possible now: refuses unservable requests, asks for slots and schedules. */
 export function advance(
   state: gatewayState.GatewayState,
   clocks: configurationLease.ClockReading,
-): Progress {
-  const progress: Progress = { assignments: [], outgoing: [], notes: [] };
-  progress.assignments.push(
+): AdvanceResult {
+  const result: AdvanceResult = { assignments: [], outgoing: [], notes: [] };
+  result.assignments.push(
     ...unservableRequests
       .refuseUnservable(state, clocks.steadyMs)
       .map((one) => ({ kind: 'refuse', ...one }) as const),
   );
-  let passes = 0;
-  let isMoving = true;
-  while (isMoving && passes < MAX_PASSES) {
-    isMoving = passOnce(state, clocks, progress);
-    passes += 1;
+  let rounds = 0;
+  let hasDecisions = true;
+  while (hasDecisions && rounds < MAX_ROUNDS) {
+    hasDecisions = runSchedulingRound(state, clocks, result);
+    rounds += 1;
   }
-  return progress;
+  return result;
 }
 
-/** Takes one repeat from the budget that all gateways share. */
+/** Takes one retry from this gateway's part of the retry budget of a service. */
 export function takeRetry(state: gatewayState.GatewayState, service: string, now: number): boolean {
   const { retryPercent, retryExtra } = state.bounds;
   const floor = retryExtra / peerView.countGateways(state.peers);
-  const { retries } = gatewayState.getServiceWork(state, service);
+  const { retries } = gatewayState.getServiceState(state, service);
   return retryBudget.takeRetry(retries, retryPercent, now, floor);
 }
--- a/packages/core/src/gateway/attempt-end.test.ts
+++ b/packages/core/src/gateway/attempt-end.test.ts
@@ -12,7 +12,7 @@
 const { AttemptFault } = attemptEnd;
 const NOT_BEGUN = { hasBegun: false, canResume: true };
 
-/** Sends one request and lets its attempts end with faults until it is settled. */
+/** Sends one request and lets its attempts fail with the given faults until it ends. */
 function runFaults(
   route: Partial<configuration.Route>,
   faults: attemptEnd.AttemptFault[],
@@ -44,8 +44,8 @@
   return { verdict: settled.kind, code, sends: request.sends };
 }
 
-/** Lets all assignments end with a fault and lists the codes of those refused. */
-function listEnds(
+/** Lets all assigned attempts fail and lists the result codes of the refused requests. */
+function failAttempts(
   state: gatewayState.GatewayState,
   assigned: assignment.Assignment[],
   fault: attemptEnd.AttemptFault,
@@ -66,23 +66,23 @@
   });
 }
 
-test('unreachable costs the caller nothing', () => {
+test('request to an unreachable server is sent again', () => {
   const { UNSAFE } = configuration.RouteKind;
   const ended = runFaults({ kind: UNSAFE }, [AttemptFault.UNREACHABLE]);
   assert.deepEqual(ended, { verdict: 'again', code: '', sends: 2 });
 });
 
-test('broken off once may have run', () => {
-  // The connection broke after the request was sent. A request that may run once
-  // only is not sent again, and its caller is not told that it was not run.
+test('request whose connection broke may have run', () => {
+  // The connection broke after the request was sent. A request that must not run twice is not
+  // sent again, and the caller must not be told that it was not run.
   const { UNSAFE } = configuration.RouteKind;
   const ended = runFaults({ kind: UNSAFE }, [AttemptFault.BROKEN]);
   assert.deepEqual(ended, { verdict: 'refuse', code: 'ANSWER_BROKEN', sends: 1 });
 });
 
-test('refused everywhere was not run', () => {
-  // Every backend server refuses, again and again. The request is sent a few
-  // times at most and is then refused as not run.
+test('request refused by all servers was not run', () => {
+  // All backend servers keep refusing. The request is sent a few times at most and then refused
+  // as not run.
   const route = gatewayFixture.buildRoute({ kind: configuration.RouteKind.UNSAFE });
   const state = gatewayFixture.createTestGateway(['a', 'b', 'c'], [route]);
   requestAdmission.admitRequest(
@@ -90,20 +90,20 @@
     gatewayFixture.buildArrived('1'),
     gatewayFixture.buildClocks(0),
   );
-  const told: string[] = [];
+  const codes: string[] = [];
   let sends = 0;
-  for (let now = 0; now < 2900 && told.length === 0; now += 50) {
+  for (let now = 0; now < 2900 && codes.length === 0; now += 50) {
     const assigned = gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(now));
     sends += assigned.filter(({ kind }) => kind === 'send').length;
-    told.push(...listEnds(state, assigned, AttemptFault.REFUSED, now));
+    codes.push(...failAttempts(state, assigned, AttemptFault.REFUSED, now));
   }
   assert.ok(sends >= 3 && sends <= 4, String(sends));
-  assert.ok(['NO_BACKEND_SERVER', 'DEADLINE_UNREACHABLE'].includes(told[0]), told[0]);
+  assert.ok(['NO_BACKEND_SERVER', 'DEADLINE_UNREACHABLE'].includes(codes[0]), codes[0]);
 });
 
-test('run, then refused: not told as not run', () => {
-  // A repeatable request fails at one backend server and is then refused by the
-  // others. It has run once; "not run" would be untrue.
+test('request that failed once and was then refused is not reported as not run', () => {
+  // A request that may run again fails at one backend server and is then refused by the others.
+  // It has run once, so reporting it as not run would be wrong.
   const { SAFE } = configuration.RouteKind;
   const faults = [
     AttemptFault.BROKEN,
@@ -113,21 +113,21 @@
   assert.equal(ended.code, 'ENGINE_FAILED');
 });
 
-test('runs of a request are bounded', () => {
+test('number of runs of a request is limited', () => {
   const { SAFE } = configuration.RouteKind;
   const ended = runFaults({ kind: SAFE, maxAttempts: 2 }, Array(5).fill(AttemptFault.FAILED));
   assert.deepEqual(ended, { verdict: 'passFailure', code: '', sends: 2 });
 });
 
-test('stream that may not be resumed runs once', () => {
+test('stream that is not resumable runs once', () => {
   assert.equal(runFaults({}, [AttemptFault.FAILED]).verdict, 'passFailure');
   const resumable = { resumable: true, maxAttempts: 2 };
   assert.equal(runFaults(resumable, [AttemptFault.FAILED]).verdict, 'again');
 });
 
-test('repeats are bounded over all requests', () => {
-  // All backend servers fail everything. Each request repeated would double the
-  // load on them; the budget lets a fifth through, and ten besides.
+test('retries are limited over all requests', () => {
+  // All backend servers fail all requests. Retrying each request would double the load; the
+  // budget allows retries for a fifth of the requests, plus ten.
   const route = gatewayFixture.buildRoute({ kind: configuration.RouteKind.SAFE, maxAttempts: 2 });
   const state = gatewayFixture.createTestGateway(['a', 'b', 'c'], [route]);
   let sends = 0;
@@ -135,11 +135,11 @@
     const clocks = gatewayFixture.buildClocks(index * 10);
     requestAdmission.admitRequest(state, gatewayFixture.buildArrived(String(index)), clocks);
     const first = gatewayFixture.assignWaiting(state, clocks);
-    listEnds(state, first, AttemptFault.FAILED, clocks.steadyMs);
+    failAttempts(state, first, AttemptFault.FAILED, clocks.steadyMs);
     const second = gatewayFixture.assignWaiting(state, clocks);
-    listEnds(state, second, AttemptFault.FAILED, clocks.steadyMs);
+    failAttempts(state, second, AttemptFault.FAILED, clocks.steadyMs);
     sends += first.length + second.length;
   }
-  const repeats = sends - 200;
-  assert.ok(repeats >= 10 && repeats <= 52, String(repeats));
+  const retries = sends - 200;
+  assert.ok(retries >= 10 && retries <= 52, String(retries));
 });
--- a/packages/core/src/gateway/attempt-end.ts
+++ b/packages/core/src/gateway/attempt-end.ts
@@ -1,45 +1,46 @@
-/** What follows when a backend server has ended an attempt without a good answer. */
+/** Handles attempts that ended without a good response: retries the request or refuses it. */
 import * as schema from '@toucanproxy/schema';
 import * as overloads from '../shared/overload.js';
 import * as pendingAsks from './pending-asks.js';
 import * as assignment from './assignment.js';
 import * as backendServers from './backend-servers.js';
 import type * as configurationLease from './configuration-lease.js';
-import * as crashWatch from './crash-watch.js';
+import * as crashDetection from './crash-detection.js';
 import * as gatewayRequest from './gateway-request.js';
 import * as gatewayState from './gateway-state.js';
 import * as refusal from './refusal.js';
 import * as requestEnd from './request-end.js';
 
 export enum AttemptFault {
-  /** No connection: no byte of the request left. */
+  /** No connection could be opened; no byte of the request was sent. */
   UNREACHABLE = 'unreachable',
-  /** Not sent: the backend server was not to be used any more when its connection was open. */
+  /** Not sent: when the connection was open, the backend server could no longer be used. */
   WITHDRAWN = 'withdrawn',
-  /** The backend server says that it did not run the request, as it is full. */
+  /** The backend server responded that it is full and did not run the request. */
   REFUSED = 'refused',
-  /** Another backend server is at the address, and did not run the request. */
+  /** Another backend server has taken over the address and did not run the request. */
   MISDIRECTED = 'misdirected',
-  /** The backend server answered with a failure of its own. */
+  /** The backend server responded with an error of its own. */
   FAILED = 'failed',
-  /** The connection ended, or its bytes are no answer to this request. */
+  /** The connection ended early, or its bytes are not a valid response to this request. */
   BROKEN = 'broken',
 }
 
 export type AttemptVerdict =
-  /** It waits again. */
+  /** The request waits for another attempt. */
   | { kind: 'again' }
-  /** Its caller gets the failure of the backend server. */
+  /** The caller gets the error response of the backend server. */
   | { kind: 'passFailure' }
   | { kind: 'refuse'; refusal: refusal.Refusal };
 
-/** Sends of one request at most, those that did not run included. */
+/** Maximum number of sends of one request, including those that did not run. */
 const MAX_SENDS = 4;
-/** Pause in a stream that callers bear, milliseconds. */
+/** Longest pause in a stream that callers tolerate, milliseconds. */
 const RESUME_TARGET_MS = 400;
-/** Time that a further attempt needs at least, milliseconds. */
+/** Minimum time for another attempt, milliseconds. */
 const MIN_TIME_LEFT_MS = 20;
 
+/** Faults after which the request has certainly not run. */
 const NOT_RUN = new Set([
   AttemptFault.UNREACHABLE,
   AttemptFault.WITHDRAWN,
@@ -47,7 +48,7 @@
   AttemptFault.MISDIRECTED,
 ]);
 
-/** Notes what a fault says of the backend server. */
+/** Records what a fault reveals about the backend server. */
 function noteServerFault(
   state: gatewayState.GatewayState,
   { service }: gatewayRequest.GatewayRequest,
@@ -79,8 +80,11 @@
   }
 }
 
-/** Notes what a fault says of a crash of the backend server. */
-function watchForCrash(
+/**
+ * Records a broken connection as a possible sign of a crash, and an unreachable backend server as
+ * evidence of one.
+ */
+function detectCrash(
   state: gatewayState.GatewayState,
   { arrived }: gatewayRequest.GatewayRequest,
   serverId: string,
@@ -88,14 +92,14 @@
   clocks: configurationLease.ClockReading,
 ): void {
   if (fault === AttemptFault.BROKEN) {
-    crashWatch.noteBrokenRun(state, serverId, arrived.hashContent(), clocks.steadyMs);
+    crashDetection.noteBrokenRun(state, serverId, arrived.hashContent(), clocks.steadyMs);
   } else if (fault === AttemptFault.UNREACHABLE) {
-    crashWatch.applyCrash(state, serverId, clocks);
+    crashDetection.applyCrash(state, serverId, clocks);
   }
 }
 
-/** Tells whether one more attempt is allowed. */
-function isAgainAllowed(
+/** Returns whether another attempt is allowed, and takes it from the retry budget. */
+function isRetryAllowed(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   notRun: boolean,
@@ -112,7 +116,7 @@
   );
 }
 
-/** Builds the refusal of a request that is not tried again. */
+/** Builds the refusal of a request that is not retried. */
 function buildRefusal(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -126,15 +130,15 @@
         : schema.ResultCode.ENGINE_FAILED;
     return refusal.buildRefusal(code);
   }
-  const { overload } = gatewayState.getServiceWork(state, request.service);
+  const { overload } = gatewayState.getServiceState(state, request.service);
   overloads.noteRefusal(overload, now);
   const advice = overloads.drawRetryAfter(overload, 0, state.drawRandom, now);
   return refusal.buildRefusal(schema.ResultCode.NO_BACKEND_SERVER, advice);
 }
 
 /**
- * Puts a request back to waiting. A caller that has a part of a stream already
- * leaves after a short pause, so that the rest goes before everything else.
+ * Puts a request back into the waiting phase. A caller that already has part of a stream
+ * disconnects after a short pause, so resuming a stream gets the highest urgency.
  */
 function waitAgain(
   state: gatewayState.GatewayState,
@@ -152,14 +156,14 @@
   return pendingAsks.askPlace(state, request, now);
 }
 
-/** What the caller has of the answer when an attempt fails. */
+/** How much of the response the caller has received when an attempt fails. */
 export type ResponseProgress = {
   hasBegun: boolean;
-  /** The rest can follow from another run: nothing has been passed on, or it is known where. */
+  /** Another run can supply the rest: nothing was sent yet, or the resume position is known. */
   canResume: boolean;
 };
 
-/** Decides what becomes of a request whose attempt has failed. */
+/** Decides whether a request whose attempt failed waits again or ends. */
 export function handleAttemptFault(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -173,12 +177,12 @@
   request.runs += notRun ? 0 : 1;
   if (serverId !== undefined) {
     noteServerFault(state, request, serverId, fault, now);
-    watchForCrash(state, request, serverId, fault, clocks);
+    detectCrash(state, request, serverId, fault, clocks);
     request.triedIds.add(serverId);
   }
   requestEnd.releaseServer(state, request);
-  const isAgain = canResume && isAgainAllowed(state, request, notRun, now);
-  if (isAgain && waitAgain(state, request, hasBegun, now)) {
+  const isRetry = canResume && isRetryAllowed(state, request, notRun, now);
+  if (isRetry && waitAgain(state, request, hasBegun, now)) {
     return { kind: 'again' };
   }
   if (request.runs === 0) {
--- a/packages/core/src/gateway/crash-watch.test.ts
+++ b/packages/core/src/gateway/crash-detection.test.ts
@@ -5,31 +5,34 @@
 import * as attemptEnd from './attempt-end.js';
 import * as serverEntries from './server-entries.js';
 import * as configurationLease from './configuration-lease.js';
-import * as crashWatch from './crash-watch.js';
+import * as crashDetection from './crash-detection.js';
 import type * as gatewayState from './gateway-state.js';
 import * as requestAdmission from './request-admission.js';
 import * as gatewayFixture from './mocks/gateway-fixture.js';
 
 const { test } = nodeTest;
 const { buildClocks } = gatewayFixture;
-const POISON = 'poison';
+const CRASHING_CONTENT = 'poison';
 
-/** Builds a call whose content is the same at each try. */
-function buildCall(attemptId: string, content = POISON) {
+/** Builds a request with the same content at each attempt. */
+function buildAttempt(attemptId: string, content = CRASHING_CONTENT) {
   return gatewayFixture.buildArrived(attemptId, { hashContent: () => content });
 }
 
-/** Sends a call, breaks it off, and lets its backend server crash; false where refused. */
+/**
+ * Sends a request, breaks its connection and lets its backend server crash. Returns false if the
+ * request is refused instead.
+ */
 function runIntoCrash(
   state: gatewayState.GatewayState,
   attemptId: string,
   now: number,
-  content = POISON,
+  content = CRASHING_CONTENT,
 ): boolean {
   configurationLease.noteConfirmed(state.lease, buildClocks(now));
   const taken = requestAdmission.admitRequest(
     state,
-    buildCall(attemptId, content),
+    buildAttempt(attemptId, content),
     buildClocks(now),
   );
   if (taken.kind === 'refused') {
@@ -41,14 +44,14 @@
   const progress = { hasBegun: false, canResume: true };
   const fault = attemptEnd.AttemptFault.BROKEN;
   attemptEnd.handleAttemptFault(state, sent.request, fault, progress, buildClocks(now));
-  crashWatch.applyCrash(state, serverId, buildClocks(now + 100));
+  crashDetection.applyCrash(state, serverId, buildClocks(now + 100));
   return true;
 }
 
-test('content that crashes servers is turned away', () => {
-  // A caller sends a request that crashes its backend server, and sends it again
-  // each time. Every crash takes other requests down too. After the second one it
-  // is refused as not run, also by a gateway that only heard of it.
+test('content that crashes servers is refused', () => {
+  // A caller keeps retrying a request that crashes its backend server, which also fails all other
+  // requests there. After the second crash the request is refused as not run, also by a gateway
+  // that knows of the crashes only from its peer.
   const first = gatewayFixture.createTestGateway(['a', 'bb']);
   assert.equal(runIntoCrash(first, '1', 0), true);
   assert.equal(runIntoCrash(first, '2', 3000), true);
@@ -59,7 +62,7 @@
   assert.equal(runIntoCrash(second, '5', 6000, 'other'), true);
 });
 
-test('crashes that two gateways saw add up', () => {
+test('crashes observed by two gateways add up', () => {
   const first = gatewayFixture.createTestGateway(['a']);
   runIntoCrash(first, '1', 0);
   const second = gatewayFixture.createTestGateway(['a']);
@@ -68,29 +71,29 @@
   assert.equal(runIntoCrash(second, '3', 6000), false);
 });
 
-test('what many ask for is not refused for being near crashes', () => {
-  // Many callers ask for the same. Some of these requests run at backend servers
-  // that lose power, at once and again later; others are answered meanwhile.
+test('frequently requested content is not refused after unrelated crashes', () => {
+  // Many callers send the same content. Some of these requests run at backend servers that lose
+  // power, several at the same time and one later; others complete in between.
   const state = gatewayFixture.createTestGateway(['a', 'bb']);
   runIntoCrash(state, '1', 0, 'usual');
   runIntoCrash(state, '2', 200, 'usual');
   assert.equal(
-    crashWatch.isContentRefused(state, () => 'usual'),
+    crashDetection.isContentRefused(state, () => 'usual'),
     false,
   );
-  crashWatch.noteCompleteResponse(state, () => 'usual', buildClocks(2000));
+  crashDetection.noteCompleteResponse(state, () => 'usual', buildClocks(2000));
   runIntoCrash(state, '3', 5000, 'usual');
   assert.equal(
-    crashWatch.isContentRefused(state, () => 'usual'),
+    crashDetection.isContentRefused(state, () => 'usual'),
     false,
   );
 });
 
-test('a reset alone, or the end of a leaving server, is no crash', () => {
+test('a connection reset alone, or the end of a leaving server, is not a crash', () => {
   const state = gatewayFixture.createTestGateway(['a']);
-  crashWatch.noteBrokenRun(state, 'a', POISON, 0);
-  assert.deepEqual(crashWatch.applyCrash(state, 'a', buildClocks(20_000)), []);
+  crashDetection.noteBrokenRun(state, 'a', CRASHING_CONTENT, 0);
+  assert.deepEqual(crashDetection.applyCrash(state, 'a', buildClocks(20_000)), []);
   serverEntries.applyEntry(state.servers, gatewayFixture.buildEntry('a', { leaving: true }), 0);
-  crashWatch.noteBrokenRun(state, 'a', POISON, 30_000);
-  assert.deepEqual(crashWatch.applyCrash(state, 'a', buildClocks(30_100)), []);
+  crashDetection.noteBrokenRun(state, 'a', CRASHING_CONTENT, 30_000);
+  assert.deepEqual(crashDetection.applyCrash(state, 'a', buildClocks(30_100)), []);
 });
--- a/packages/core/src/gateway/crash-watch.ts
+++ b/packages/core/src/gateway/crash-detection.ts
@@ -1,34 +1,33 @@
 /**
- * Content that crashes backend servers, and when it is turned away.
+ * Identifies request content that crashes backend servers and decides when it is refused.
  *
- * A request whose content crashes an engine comes again: by its caller, or by a
- * repeat of ours. Each time it takes a backend server down with all that runs
- * there. When a backend server crashes, the content of every request that broke
- * off there becomes suspect; content that was there at two crashes in a row is
- * refused. An answer that comes whole clears its content, so that what many
- * callers ask for is not refused for having been near a crash. Gateways tell each
- * other of suspects, as a caller comes back through another one.
+ * A request whose content crashes an engine is retried, by its caller or by a gateway. Each
+ * attempt takes down a backend server and all other requests there. When a backend server
+ * crashes, the content of every request that broke off there becomes a suspect. Content that was
+ * present at two crashes in a row is refused. A complete response clears its content, so that
+ * frequently requested content is not refused for having run beside a crash. Gateways share their
+ * suspects, because a caller may retry through another gateway.
  */
 import * as suspects from '../shared/suspects.js';
 import type * as configurationLease from './configuration-lease.js';
 import type * as gatewayState from './gateway-state.js';
 
-/** A request that broke off at a backend server that may have crashed. */
+/** A request that broke off, perhaps because its backend server crashed. */
 export type BrokenRun = { contentDigest: string; atMs: number };
 
 /**
- * A backend server that cannot be reached, or whose entry changes, within this time
- * after requests broke off there has crashed, milliseconds. Entries of dead ones
- * lapse after some seconds; connections to them are refused at once.
+ * A backend server is regarded as crashed if it becomes unreachable, or if its store entry changes,
+ * within this time after requests broke off there, milliseconds. The store entry of a dead server
+ * expires after some seconds; connections to it are refused immediately.
  */
 const CONFIRM_MS = 5000;
 /**
- * Crashes closer than this count as one, milliseconds. Several backend servers may
- * lose power at once; a caller needs longer to come back.
+ * Crashes that are closer together count as one, milliseconds. Several backend servers may lose
+ * power at the same time, whereas a caller takes longer to retry.
  */
 const SAME_CRASH_MS = 1000;
 
-/** Notes that a request broke off at a backend server that was not leaving. */
+/** Records that a request broke off, unless its backend server was leaving. */
 export function noteBrokenRun(
   state: gatewayState.GatewayState,
   serverId: string,
@@ -43,8 +42,8 @@
   state.brokenRuns.set(serverId, [...kept, { contentDigest, atMs: now }]);
 }
 
-/** Tells whether a crash of some content was counted just before. */
-function isCounted(
+/** Returns whether a crash has just been counted for this content. */
+function isRecentlyCounted(
   state: gatewayState.GatewayState,
   contentDigest: string,
   wallMs: number,
@@ -53,7 +52,10 @@
   return known !== undefined && wallMs - known.lastCrashMs < SAME_CRASH_MS;
 }
 
-/** Takes in that a backend server has crashed; gives the content that was there. */
+/**
+ * Counts the crash of a backend server against the content that broke off there, and returns the
+ * digests of the content for which it counted.
+ */
 export function applyCrash(
   state: gatewayState.GatewayState,
   serverId: string,
@@ -61,15 +63,17 @@
 ): string[] {
   const recent = state.brokenRuns.get(serverId) ?? [];
   state.brokenRuns.delete(serverId);
-  const there = recent
+  const digests = recent
     .filter(({ atMs }) => steadyMs - atMs <= CONFIRM_MS)
     .map(({ contentDigest }) => contentDigest);
-  const counted = [...new Set(there)].filter((digest) => !isCounted(state, digest, wallMs));
+  const counted = [...new Set(digests)].filter(
+    (digest) => !isRecentlyCounted(state, digest, wallMs),
+  );
   counted.forEach((digest) => suspects.recordCrash(state.suspects, digest, true, wallMs));
   return counted;
 }
 
-/** Takes in that content was answered whole: it is no suspect any more. */
+/** Clears content whose response was complete: it is no longer a suspect. */
 export function noteCompleteResponse(
   state: gatewayState.GatewayState,
   hashContent: () => string,
@@ -80,7 +84,7 @@
   }
 }
 
-/** Tells whether content is turned away. */
+/** Returns whether content is refused because of earlier crashes. */
 export function isContentRefused(
   state: gatewayState.GatewayState,
   hashContent: () => string,
--- a/packages/core/src/gateway/deadline-stats.test.ts
+++ b/packages/core/src/gateway/deadline-stats.test.ts
@@ -9,104 +9,105 @@
 import * as requestEnd from './request-end.js';
 
 const { test } = nodeTest;
-const { buildArrived, buildClocks, buildRoute, createTestGateway: createBench } = gatewayFixture;
-const FULL_MS = 15_000;
+const { buildArrived, buildClocks, buildRoute, createTestGateway } = gatewayFixture;
+const MAXIMUM_MS = 15_000;
 const TARGET_MS = 500;
 const SERVERS = ['a', 'bb', 'ccc', 'dddd', 'eeeee', 'ffffff', 'ggggggg', 'hhhhhhhh'];
-/** Runs last from 320 to 480 ms: sixteen places serve forty a second. */
+/** Runs take from 320 to 480 ms, so sixteen slots serve forty requests a second. */
 const SHORTEST_MS = 320;
 const RUN_STEP_MS = 40;
 const RUN_STEPS = 5;
-/** Nearly three times as much arrives. */
+/** Interval between requests: they arrive at two and a half times that rate. */
 const ARRIVAL_MS = 10;
 const BURST_MS = 8000;
 
-/** Takes in the deadlines of some requests. */
+/** Adds the deadlines of several requests to the statistics. */
 function noteAll(
-  usual: deadlineStats.UsualDeadline,
+  stats: deadlineStats.DeadlineStats,
   deadlines: readonly number[],
   workspace = 'w',
 ): void {
-  deadlines.forEach((deadlineMs) => deadlineStats.noteDeadline(usual, workspace, deadlineMs));
+  deadlines.forEach((deadlineMs) => deadlineStats.noteDeadline(stats, workspace, deadlineMs));
 }
 
-test('one that comes back has tried for as long as it has less time', () => {
-  const usual = deadlineStats.createUsualDeadline();
+test('elapsed time of a retry is what its deadline lacks to the maximum', () => {
+  const stats = deadlineStats.createDeadlineStats();
   noteAll(
-    usual,
-    Array.from({ length: 40 }, (_, index) => FULL_MS - (index % 10) * 200),
+    stats,
+    Array.from({ length: 40 }, (_, index) => MAXIMUM_MS - (index % 10) * 200),
   );
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', FULL_MS), 0);
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', FULL_MS - 1800), 0);
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 9000), 6000);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', MAXIMUM_MS), 0);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', MAXIMUM_MS - 1800), 0);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', 9000), 6000);
 });
 
-test('callers that each have a time of their own', () => {
-  // Callers of one route allow anything from one to fifteen seconds. Who allows little has
-  // not tried for long; nobody may be put behind the others for it.
-  const usual = deadlineStats.createUsualDeadline();
+test('callers with widely varying deadlines', () => {
+  // Deadlines on one route vary from one to fifteen seconds. A short one does not indicate a
+  // retry and must not lower the priority of the request.
+  const stats = deadlineStats.createDeadlineStats();
   noteAll(
-    usual,
+    stats,
     Array.from({ length: 400 }, (_, index) => 1000 + ((index * 7919) % 14_000)),
   );
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 2000), 0);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', 2000), 0);
 });
 
-test('one caller with a very long time', () => {
-  // One caller allows four times as long as all others. These have not tried for 45
-  // seconds; nothing is concluded until its deadline is forgotten.
-  const usual = deadlineStats.createUsualDeadline();
-  noteAll(usual, Array<number>(40).fill(FULL_MS));
-  noteAll(usual, [60_000]);
+test('one caller with a very long deadline', () => {
+  // One caller sends four times the deadline of all others. This must not make the others appear
+  // to have been retrying for 45 seconds; no estimate is made until the outlier is discarded.
+  const stats = deadlineStats.createDeadlineStats();
+  noteAll(stats, Array<number>(40).fill(MAXIMUM_MS));
+  noteAll(stats, [60_000]);
   Array.from({ length: 60 }).forEach(() => {
-    noteAll(usual, [FULL_MS]);
-    assert.equal(deadlineStats.estimateTriedMs(usual, 'w', FULL_MS), 0);
+    noteAll(stats, [MAXIMUM_MS]);
+    assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', MAXIMUM_MS), 0);
   });
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 9000), 6000);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', 9000), 6000);
 });
 
-test('a workspace whose callers allow less', () => {
-  // Callers of one workspace allow 8 s, all others 15 s. They have not tried before; in a
-  // burst they would wait behind everybody of their urgency, and be turned away first.
-  const usual = deadlineStats.createUsualDeadline();
-  noteAll(usual, Array<number>(40).fill(FULL_MS));
+test('a workspace whose callers send shorter deadlines', () => {
+  // Callers of one workspace send 8 s, all others 15 s. Taken for retries, their requests would
+  // wait behind all others of their urgency in a burst and be refused first.
+  const stats = deadlineStats.createDeadlineStats();
+  noteAll(stats, Array<number>(40).fill(MAXIMUM_MS));
   Array.from({ length: 12 }).forEach(() => {
-    noteAll(usual, [8000], 'hasty');
-    noteAll(usual, [FULL_MS, FULL_MS]);
+    noteAll(stats, [8000], 'hasty');
+    noteAll(stats, [MAXIMUM_MS, MAXIMUM_MS]);
   });
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'hasty', 8000), 0);
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 8000), 7000);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'hasty', 8000), 0);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', 8000), 7000);
 });
 
-test('nothing is known at first', () => {
-  const usual = deadlineStats.createUsualDeadline();
-  noteAll(usual, [FULL_MS, FULL_MS]);
-  assert.equal(deadlineStats.estimateTriedMs(usual, 'w', 5000), 0);
+test('no estimate from too few requests', () => {
+  const stats = deadlineStats.createDeadlineStats();
+  noteAll(stats, [MAXIMUM_MS, MAXIMUM_MS]);
+  assert.equal(deadlineStats.estimateElapsedMs(stats, 'w', 5000), 0);
 });
 
-/** A caller that comes back, and when it first tried. */
-type Return = { atMs: number; firstMs: number };
+/** A pending retry and the time of the caller's first attempt. */
+type PendingRetry = { atMs: number; firstMs: number };
 
-/** What is under way in a burst. */
+/** State of a simulated burst. */
 type Burst = {
   state: gatewayState.GatewayState;
-  doDeadlinesTell: boolean;
-  returns: Return[];
+  /** Retries send the remaining time as their deadline. */
+  doDeadlinesShrink: boolean;
+  pendingRetries: PendingRetry[];
   running: { request: gatewayRequest.GatewayRequest; endMs: number }[];
   firstMsById: Map<string, number>;
   inTime: number;
 };
 
-/** Takes in a call of somebody who first tried at a time. */
-function addCall(burst: Burst, firstMs: number, now: number): void {
+/** Admits an attempt of a caller whose first attempt was at the given time. */
+function admitAttempt(burst: Burst, firstMs: number, now: number): void {
   const attemptId = String(burst.firstMsById.size);
   burst.firstMsById.set(attemptId, firstMs);
-  const triedMs = burst.doDeadlinesTell ? now - firstMs : 0;
-  const arrived = buildArrived(attemptId, { deadlineMs: FULL_MS - triedMs });
+  const elapsedMs = burst.doDeadlinesShrink ? now - firstMs : 0;
+  const arrived = buildArrived(attemptId, { deadlineMs: MAXIMUM_MS - elapsedMs });
   requestAdmission.admitRequest(burst.state, arrived, buildClocks(now));
 }
 
-/** Ends what has run for its time. */
+/** Ends the requests whose run time is over. */
 function endRuns(burst: Burst, now: number): void {
   burst.running
     .filter(({ endMs }) => now >= endMs)
@@ -114,7 +115,7 @@
   burst.running = burst.running.filter(({ endMs }) => now < endMs);
 }
 
-/** Sends what was given a place; who is turned away for the first time comes back. */
+/** Runs the requests that got a slot; a caller whose first attempt is refused retries. */
 function applyDecisions(burst: Burst, now: number): void {
   gatewayFixture.assignWaiting(burst.state, buildClocks(now)).forEach((one) => {
     const { request } = one;
@@ -124,45 +125,50 @@
       burst.running.push({ request, endMs: now + runMs });
       burst.inTime += Number(now + request.idleFirstMs < firstMs + TARGET_MS);
     } else if (one.kind === 'refuse' && request.arrivedMs === firstMs) {
-      burst.returns.push({ atMs: now + (one.refusal.retryAfterMs ?? Infinity), firstMs });
+      burst.pendingRetries.push({ atMs: now + (one.refusal.retryAfterMs ?? Infinity), firstMs });
     }
   });
 }
 
 /**
- * Runs a burst of nearly three times what all places can do. Who is turned away comes
- * back once, when told. Gives the calls that were sent before their target.
+ * Simulates a burst of two and a half times the capacity of all slots. A caller whose request is
+ * refused retries once, after the advised delay. Returns the number of requests that were on time.
  */
-function countInTime(doDeadlinesTell: boolean): number {
-  const state = createBench(SERVERS, [buildRoute({ targetMs: TARGET_MS })]);
-  const flow = { returns: [], running: [], firstMsById: new Map<string, number>(), inTime: 0 };
-  const burst: Burst = { state, doDeadlinesTell, ...flow };
+function countInTime(doDeadlinesShrink: boolean): number {
+  const state = createTestGateway(SERVERS, [buildRoute({ targetMs: TARGET_MS })]);
+  const flow = {
+    pendingRetries: [],
+    running: [],
+    firstMsById: new Map<string, number>(),
+    inTime: 0,
+  };
+  const burst: Burst = { state, doDeadlinesShrink, ...flow };
   for (let now = 0; now < BURST_MS; now += 5) {
     configurationLease.noteConfirmed(state.lease, buildClocks(now));
     endRuns(burst, now);
     if (now % ARRIVAL_MS === 0) {
-      addCall(burst, now, now);
+      admitAttempt(burst, now, now);
     }
-    const due = burst.returns.filter(({ atMs }) => atMs <= now);
-    burst.returns = burst.returns.filter(({ atMs }) => atMs > now);
-    due.forEach(({ firstMs }) => addCall(burst, firstMs, now));
+    const due = burst.pendingRetries.filter(({ atMs }) => atMs <= now);
+    burst.pendingRetries = burst.pendingRetries.filter(({ atMs }) => atMs > now);
+    due.forEach(({ firstMs }) => admitAttempt(burst, firstMs, now));
     applyDecisions(burst, now);
   }
   return burst.inTime;
 }
 
-test('who comes back late takes no place of one who can be on time', () => {
-  // Callers who were turned away come back while others arrive for the first time. Places
-  // go to those who can still be on time; without a word of the time that is left, who
-  // comes back late gets a part of them.
+test('late retry takes no slot from a request that can be on time', () => {
+  // Refused callers retry while new requests arrive. The slots go to requests that can still be
+  // on time. If the deadlines of retries did not reveal the elapsed time, late retries would get
+  // some of the slots.
   assert.ok(countInTime(true) > countInTime(false));
 });
 
-test('who comes back goes before the less urgent', () => {
+test('retry goes before less urgent requests', () => {
   const routes = [buildRoute(), buildRoute({ name: 'later', prefix: '/b/', urgency: 1 })];
-  const state = createBench(['a'], routes);
+  const state = createTestGateway(['a'], routes);
   Array.from({ length: 20 }).forEach((_, index) =>
-    requestAdmission.admitRequest(state, buildArrived(`usual ${index}`), buildClocks(0)),
+    requestAdmission.admitRequest(state, buildArrived(`typical ${index}`), buildClocks(0)),
   );
   gatewayFixture.assignWaiting(state, buildClocks(0));
   state.requests.forEach((request) => requestEnd.abandonRequest(state, request, false));
--- a/packages/core/src/gateway/deadline-stats.ts
+++ b/packages/core/src/gateway/deadline-stats.ts
@@ -1,96 +1,104 @@
 /**
- * Which callers have been trying for long, as far as their deadlines tell.
+ * Estimates from request deadlines how long callers have been retrying.
  *
- * A caller that was told to come back, or whose gateway was lost, sends its request again
- * with the time that it has left. Load pattern: a burst of half as much again as the
- * engines can do. Who comes back has missed its target; taken for a new one, it gets the
- * place of a caller who can still be on time, who is turned away and comes back late in
- * turn.
+ * A caller that was told to retry later, or whose gateway was lost, sends its request again with
+ * the remaining time as its deadline. This matters in bursts, for instance at one and a half times
+ * the capacity of the engines. A retried request has already missed its target. Treated as a new
+ * one, it would take the slot of a request that can still be on time, whose caller is refused and
+ * retries late in turn.
  *
- * Callers of a route mostly allow much the same time. Where they do not, or where those of
- * one workspace mostly allow less, nothing is concluded: who allows little must not be put
- * behind the others for it.
+ * Most callers of a route send about the same deadline, and a shorter one indicates a retry. If
+ * their deadlines differ, or if those of one workspace are typically shorter, no estimate is made,
+ * because a short deadline alone must not lower the priority of a request.
  */
 
-/** What is known of the deadlines on one route. */
-export type UsualDeadline = {
-  /** The longest deadline that many callers send, milliseconds. */
-  fullMs: number;
-  /** Recent share of the requests that came with about this deadline, 0 to 1. */
+/** Statistics of the deadlines that callers send on one route. */
+export type DeadlineStats = {
+  /** Maximum deadline that callers send, milliseconds; outliers are discarded in time. */
+  maximumMs: number;
+  /** Recent share of requests with about the maximum deadline, 0 to 1. */
   share: number;
   samples: number;
-  /** The same share and count among the requests of each workspace. */
+  /** The same share and count for the requests of each workspace. */
   byWorkspace: Map<string, { share: number; samples: number }>;
 };
 
-/** Weight of one request in the share. */
+/** Minimum weight of one request in the share. */
 const SAMPLE_WEIGHT = 1 / 32;
 /**
- * Part of the longest deadline from which on one is full: callers of a route differ a
- * little, and who comes back has waited for longer than that.
+ * A deadline of at least this part of the maximum counts as the maximum. The deadlines of a route
+ * vary slightly, whereas a caller that retries has waited for longer than the remaining part.
  */
-const FULL_SHARE = 0.78;
-/** Above this share full deadlines are the usual ones: the others come back. */
-const USUAL_SHARE = 0.4;
-/** Below this share the longest deadline was one caller's own, and is forgotten. */
-const ODD_SHARE = 0.05;
-/** Requests that must have been seen before anything is concluded. */
+const MAXIMUM_DEADLINE_RATIO = 0.78;
+/** From this share on, the maximum deadline is the typical one, and shorter ones are retries. */
+const TYPICAL_SHARE = 0.4;
+/** Below this share, the maximum deadline was an outlier of one caller and is discarded. */
+const OUTLIER_SHARE = 0.05;
+/** Minimum number of requests before estimates are made. */
 const MIN_SAMPLES = 6;
-/** Full deadlines that a workspace is credited with before its first request. */
+/** Number of maximum deadlines that a workspace is credited with before its first request. */
 const PRIOR_SAMPLES = 4;
-/** Workspaces that are remembered for a route; bounds the memory. */
+/** Maximum number of workspaces recorded for a route; limits memory use. */
 const MAX_WORKSPACES = 1024;
 
-/** Creates the record of a route without requests. */
-export function createUsualDeadline(): UsualDeadline {
-  return { fullMs: 0, share: 0, samples: 0, byWorkspace: new Map() };
+/** Creates the statistics of a route without requests. */
+export function createDeadlineStats(): DeadlineStats {
+  return { maximumMs: 0, share: 0, samples: 0, byWorkspace: new Map() };
 }
 
-/** Tells whether a deadline is about the longest one. */
-function isFull({ fullMs }: UsualDeadline, deadlineMs: number): boolean {
-  return deadlineMs >= fullMs * FULL_SHARE;
+/** Returns whether a deadline is close to the maximum. */
+function isNearMaximum({ maximumMs }: DeadlineStats, deadlineMs: number): boolean {
+  return deadlineMs >= maximumMs * MAXIMUM_DEADLINE_RATIO;
 }
 
-/** Forgets what was seen, and begins with one deadline. */
-function restart(usual: UsualDeadline, deadlineMs: number): void {
-  usual.fullMs = deadlineMs;
-  usual.share = 1;
-  usual.samples = 1;
-  usual.byWorkspace.clear();
+/** Discards all statistics and starts again with one deadline. */
+function restart(stats: DeadlineStats, deadlineMs: number): void {
+  stats.maximumMs = deadlineMs;
+  stats.share = 1;
+  stats.samples = 1;
+  stats.byWorkspace.clear();
 }
 
-/** Moves a share by one request more. */
-function updateShare(counted: { share: number; samples: number }, isFullOne: boolean): void {
+/** Updates a share with one more request. */
+function updateShare(
+  counted: { share: number; samples: number },
+  isMaximumDeadline: boolean,
+): void {
   counted.samples += 1;
   const weight = Math.max(SAMPLE_WEIGHT, 1 / counted.samples);
-  counted.share += weight * (Number(isFullOne) - counted.share);
+  counted.share += weight * (Number(isMaximumDeadline) - counted.share);
 }
 
-/** Takes in the deadline of one request. */
-export function noteDeadline(usual: UsualDeadline, workspace: string, deadlineMs: number): void {
-  const isOther = deadlineMs * FULL_SHARE > usual.fullMs;
-  if (isOther || usual.share < ODD_SHARE) {
-    restart(usual, deadlineMs);
+/** Adds the deadline of one request to the statistics. */
+export function noteDeadline(stats: DeadlineStats, workspace: string, deadlineMs: number): void {
+  const isLonger = deadlineMs * MAXIMUM_DEADLINE_RATIO > stats.maximumMs;
+  if (isLonger || stats.share < OUTLIER_SHARE) {
+    restart(stats, deadlineMs);
     return;
   }
-  usual.fullMs = Math.max(usual.fullMs, deadlineMs);
-  const isFullOne = isFull(usual, deadlineMs);
-  updateShare(usual, isFullOne);
-  if (usual.byWorkspace.size > MAX_WORKSPACES) {
-    usual.byWorkspace.clear();
+  stats.maximumMs = Math.max(stats.maximumMs, deadlineMs);
+  const isMaximumDeadline = isNearMaximum(stats, deadlineMs);
+  updateShare(stats, isMaximumDeadline);
+  if (stats.byWorkspace.size > MAX_WORKSPACES) {
+    stats.byWorkspace.clear();
   }
-  const own = usual.byWorkspace.get(workspace) ?? { share: 1, samples: PRIOR_SAMPLES };
-  usual.byWorkspace.set(workspace, own);
-  updateShare(own, isFullOne);
+  const own = stats.byWorkspace.get(workspace) ?? { share: 1, samples: PRIOR_SAMPLES };
+  stats.byWorkspace.set(workspace, own);
+  updateShare(own, isMaximumDeadline);
 }
 
-/** Estimates how long the caller of a request has been trying, milliseconds; 0 for a new one. */
-export function estimateTriedMs(
-  usual: UsualDeadline,
+/**
+ * Estimates the time since the caller first sent a request, milliseconds; 0 for a request that
+ * does not seem to be a retry.
+ */
+export function estimateElapsedMs(
+  stats: DeadlineStats,
   workspace: string,
   deadlineMs: number,
 ): number {
-  const isKnown = usual.samples >= MIN_SAMPLES && usual.share >= USUAL_SHARE;
-  const isUsualThere = (usual.byWorkspace.get(workspace)?.share ?? 1) >= USUAL_SHARE;
-  return isKnown && isUsualThere && !isFull(usual, deadlineMs) ? usual.fullMs - deadlineMs : 0;
+  const hasTypicalDeadline = stats.samples >= MIN_SAMPLES && stats.share >= TYPICAL_SHARE;
+  const isTypicalInWorkspace = (stats.byWorkspace.get(workspace)?.share ?? 1) >= TYPICAL_SHARE;
+  return hasTypicalDeadline && isTypicalInWorkspace && !isNearMaximum(stats, deadlineMs)
+    ? stats.maximumMs - deadlineMs
+    : 0;
 }
--- a/packages/core/src/gateway/gateway-request.ts
+++ b/packages/core/src/gateway/gateway-request.ts
@@ -1,28 +1,28 @@
-/** A request while a gateway has it in hand. */
+/** The state of a request from its admission to its end. */
 import type * as configuration from './configuration.js';
 import type * as regionBinding from './region-binding.js';
 
-/** What a caller sent, as far as decisions need it. */
+/** The parts of a caller's request that admission and scheduling depend on. */
 export type ArrivedRequest = {
-  /** The caller's name for this try; unique. */
+  /** Unique identifier that the caller gave to this attempt. */
   attemptId: string;
   host: string;
-  /** Without the query. */
+  /** Path without the query string. */
   path: string;
   credential: string | undefined;
-  /** Time that the caller will wait, milliseconds; undefined where it does not say. */
+  /** How long the caller will wait, milliseconds; undefined if not specified. */
   deadlineMs: number | undefined;
-  /** Prompt tokens and the most tokens of the answer; undefined for a plain request. */
+  /** Prompt tokens and maximum response tokens; undefined for a request to a plain service. */
   tokens: { prompt: number; answer: number } | undefined;
-  /** The caller's guess at the tokens of the answer. */
+  /** The caller's estimate of the number of response tokens. */
   answerGuess: number | undefined;
-  /** Computes a digest of what it asks for; the same for each try of its caller. */
+  /** Computes a digest of the content, which is the same for every attempt of the caller. */
   hashContent: () => string;
 };
 
 export enum RequestPhase {
   WAITING = 'waiting',
-  /** At a backend server. */
+  /** Assigned to a backend server. */
   SENT = 'sent',
 }
 
@@ -32,47 +32,49 @@
   route: configuration.Route;
   service: string;
   workspace: string;
-  /** Where it may be served. */
+  /** Regions in which it may be served. */
   regions: regionBinding.RegionBinding;
-  /** Names the tier of its place in the queue; 0 is the most urgent. */
+  /** Tier in the queue; 0 is the most urgent. */
   urgency: number;
-  /** May run more than once. */
+  /** It may run more than once. */
   repeatable: boolean;
-  /** Estimated work, tokens. */
+  /** Estimated work, in response tokens. */
   workTokens: number;
-  /** What it was charged against the quota of its workspace. */
+  /** Amount charged to the quota of its workspace. */
   quotaCost: number;
-  /** Beyond the declared quota of its workspace; only the tolerance lets it in. */
+  /** It exceeds the declared quota of its workspace and was admitted within the tolerance. */
   isBeyondQuota: boolean;
-  /** Version of the configuration that it was last checked against. */
+  /** Configuration version that it was last checked against. */
   version: number;
   arrivedMs: number;
-  /** Its caller has been trying for longer than its target, as far as its deadline tells. */
+  /** It has missed its target: to judge by its deadline, it has been retried for longer. */
   isBelated: boolean;
-  /** After this time its first byte comes late. */
+  /** A first byte after this time is late. */
   targetMs: number;
-  /** Its caller leaves where no part of an answer has come by this time. */
+  /** Its caller is expected to disconnect if no part of the response has arrived by this time. */
   leaveMs: number;
-  /** It gets its final answer by this time. */
+  /** Time by which it must have its final response. */
   giveUpMs: number;
   phase: RequestPhase;
-  /** The cell that it asked for a place last, and those that declined it. */
+  /** The cell that it last asked for a slot. */
   cell: string | undefined;
+  /** Cells that declined it. */
   declinedCells: Set<string>;
-  /** The backend server that has it. */
+  /** The backend server that it is assigned to. */
   serverId: string | undefined;
-  /** Start of that backend server's life, milliseconds since the Unix epoch. */
+  /** When that backend server process started, milliseconds since the Unix epoch. */
   serverBornMs: number;
   sentMs: number;
-  /** The same by the time of day, milliseconds since the Unix epoch. */
+  /** `sentMs` by the wall clock, milliseconds since the Unix epoch. */
   sentWallMs: number;
-  /** That backend server had a rate limit when the place was granted. */
+  /** That backend server was rate-limited when the slot was granted. */
   isRateLimited: boolean;
-  /** Time to its first event if that backend server were idle, milliseconds. */
+  /** Predicted time to the first event on an idle backend server, milliseconds. */
   idleFirstMs: number;
-  /** Backend servers that did not take it, or failed it. */
+  /** Backend servers that could not be used, refused the request or failed it. */
   triedIds: Set<string>;
-  /** Times it was sent, and times it was run or may have been. */
+  /** Number of times that it was sent. */
   sends: number;
+  /** Number of times that it ran or may have run. */
   runs: number;
 };
--- a/packages/core/src/gateway/gateway-state.ts
+++ b/packages/core/src/gateway/gateway-state.ts
@@ -1,4 +1,4 @@
-/** The state that one gateway task owns. */
+/** The state of one gateway, owned by its task. */
 import * as overload from '../shared/overload.js';
 import * as retryBudget from '../shared/retry-budget.js';
 import * as suspects from '../shared/suspects.js';
@@ -6,7 +6,7 @@
 import * as backendServers from './backend-servers.js';
 import * as configurationLease from './configuration-lease.js';
 import type * as configurationIndex from './configuration-index.js';
-import type * as crashWatch from './crash-watch.js';
+import type * as crashDetection from './crash-detection.js';
 import type * as deadlineStats from './deadline-stats.js';
 import * as cellMap from './cell-map.js';
 import type * as gatewayRequest from './gateway-request.js';
@@ -16,55 +16,56 @@
 import * as schedulerRanking from './scheduler-ranking.js';
 import * as tokenQuota from './token-quota.js';
 
-/** What is kept of a service over all its requests. */
-export type ServiceWork = {
+/** Per-service state that spans requests. */
+export type ServiceState = {
   retries: retryBudget.RetryBudget;
-  /** Requests that backend servers did not take. */
+  /** Tracks requests that backend servers did not take. */
   overload: overload.Overload;
 };
 
-/** Totals of what passed between this gateway and schedulers since its start. */
+/** Totals of the exchange between this gateway and schedulers since its start. */
 export type SchedulingTotals = {
   asks: number;
-  /** Grants that a request was sent with, and those that none could use. */
+  /** Grants with which a request was sent. */
   grantsUsed: number;
+  /** Grants that could not be used. */
   grantsUnused: number;
-  /** Schedulers that were left since they did not answer, or as another one took over. */
+  /** Changes to another scheduler, because one did not reply or another one took over. */
   schedulersLeft: number;
 };
 
 /**
- * Bound of what a backend server that warms up may get in any one second: the declared
- * number of requests times `factor`, and `extra` requests besides.
+ * Limit on the requests that a warming-up backend server may get in any one second: the declared
+ * rate times `factor`, plus `extra`.
  */
 export type WarmUpTolerance = { factor: number; extra: number };
 
-/** Bounds of the deployment. */
+/** Limits that the operators of the deployment set. */
 export type GatewayBounds = {
-  /** How long one answer of the store holds, milliseconds; Infinity for always. */
+  /** Duration of the configuration lease, milliseconds; Infinity for no limit. */
   leaseMs: number;
-  /** Entries that lapsed are back this long after the store's return, milliseconds. */
+  /** Store entries that expired in a store outage are restored this soon after it, milliseconds. */
   entryReturnMs: number;
   quotaTolerance: quotaLimit.QuotaTolerance;
-  /** Repeats of sends for each hundred requests. */
+  /** Retries allowed for each hundred requests. */
   retryPercent: number;
-  /** Repeats that all gateways together may make besides. */
+  /** Additional retries that all gateways together may make. */
   retryExtra: number;
-  /** What backend servers that warm up bear beyond what they are declared to. */
+  /** Load that warming-up backend servers may get beyond their declared rate. */
   warmUpTolerance: WarmUpTolerance;
 };
 
 export type GatewayState = {
-  /** Where its peers send to, IP and port; names it among them. */
+  /** IP and port that peers send to; also identifies this gateway among them. */
   address: string;
-  /** New with each start of the process. */
+  /** Identifies the incarnation of the process; new with each start. */
   life: string;
   failureDomain: string;
-  /** Processor time that the process may use, in hundredths of a core. */
+  /** CPU time that the process may use, in hundredths of a core. */
   processorPercent: number;
-  /** Gateways that its settings name; itself left out. */
+  /** Other gateways that are named in the settings. */
   seeds: readonly string[];
-  /** Region of each failure domain, as far as the settings tell. */
+  /** Region of each failure domain that the settings assign to one. */
   regionByDomain: ReadonlyMap<string, string>;
   bounds: GatewayBounds;
   drawRandom: () => number;
@@ -74,32 +75,32 @@
   lease: configurationLease.ConfigurationLease;
   servers: backendServers.BackendServers;
   cellMap: cellMap.CellMap;
-  /** Requests of this gateway by backend server. */
+  /** Number of this gateway's requests at each backend server. */
   inFlight: Map<string, number>;
-  /** By cell: what its scheduler was told. */
+  /** Communication state with the scheduler of each cell, by cell name. */
   links: Map<string, schedulerLink.SchedulerLink>;
   ranking: schedulerRanking.SchedulerRanking;
-  /** The scheduler that this gateway is for some cells. */
+  /** Schedules the cells that this gateway is responsible for. */
   scheduler: scheduler.Scheduler;
   schedulingTotals: SchedulingTotals;
-  services: Map<string, ServiceWork>;
-  /** How long callers usually wait, by the name of the route. */
-  usualDeadlines: Map<string, deadlineStats.UsualDeadline>;
+  services: Map<string, ServiceState>;
+  /** Statistics of the deadlines that callers send, by route name. */
+  deadlineStatsByRoute: Map<string, deadlineStats.DeadlineStats>;
   requests: Map<number, gatewayRequest.GatewayRequest>;
-  quotas: tokenQuota.QuotaBook;
+  quotas: tokenQuota.QuotaState;
   peers: peerView.PeerView;
-  /** Content that was running when backend servers crashed. */
+  /** Request content that was running when backend servers crashed. */
   suspects: suspects.Suspects;
-  /** Requests that broke off lately, by backend server. */
-  brokenRuns: Map<string, crashWatch.BrokenRun[]>;
+  /** Requests whose connection broke recently, by backend server. */
+  brokenRuns: Map<string, crashDetection.BrokenRun[]>;
   nextSerial: number;
-  /** Revision of `servers` for which waiting requests were last checked. */
+  /** Revision of `servers` at the last check of waiting requests. */
   checkedRevision: number;
-  /** Set once the process has been told to stop, milliseconds; 0 before. */
+  /** When shutdown of the process was requested, milliseconds; 0 before. */
   shutdownMs: number;
 };
 
-/** What names a gateway, and what it may use. */
+/** Identity, location and resources of a gateway. */
 export type GatewayIdentity = {
   address: string;
   life: string;
@@ -132,9 +133,9 @@
     scheduler: scheduler.createScheduler(address, life, drawRandom),
     schedulingTotals: { asks: 0, grantsUsed: 0, grantsUnused: 0, schedulersLeft: 0 },
     services: new Map(),
-    usualDeadlines: new Map(),
+    deadlineStatsByRoute: new Map(),
     requests: new Map(),
-    quotas: tokenQuota.createQuotaBook(),
+    quotas: tokenQuota.createQuotaState(),
     peers: peerView.createPeerView(),
     suspects: suspects.createSuspects(),
     brokenRuns: new Map(),
@@ -144,17 +145,17 @@
   };
 }
 
-/** Gets the work of a service, made where there is none. */
-export function getServiceWork(state: GatewayState, service: string): ServiceWork {
-  const work = state.services.get(service) ?? {
+/** Returns the state of a service and creates it if there is none. */
+export function getServiceState(state: GatewayState, service: string): ServiceState {
+  const serviceState = state.services.get(service) ?? {
     retries: retryBudget.createRetryBudget(),
     overload: overload.createOverload(),
   };
-  state.services.set(service, work);
-  return work;
+  state.services.set(service, serviceState);
+  return serviceState;
 }
 
-/** Counts a request to a backend server, or off it. */
+/** Changes the number of this gateway's requests in flight at a backend server by `amount`. */
 export function addInFlight(state: GatewayState, serverId: string, amount: number): void {
   const left = (state.inFlight.get(serverId) ?? 0) + amount;
   if (left > 0) {
@@ -164,8 +165,11 @@
   }
 }
 
-/** Computes the part of shared limits that this gateway may use by itself. */
-export function computeShare(state: GatewayState, now: number): number {
+/**
+ * Computes the part of a shared quota that this gateway may use on its own. The shares of
+ * unreachable gateways are reserved, because they may still be serving.
+ */
+export function computeQuotaShare(state: GatewayState, now: number): number {
   const all = peerView.countGateways(state.peers);
   return (all - peerView.countUnreachablePeers(state.peers, now)) / all;
 }
--- a/packages/core/src/gateway/index.ts
+++ b/packages/core/src/gateway/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of a gateway: requests go to backend servers without an agent. */
+/** Decision logic of a gateway, which sends requests directly to backend servers without agents. */
 export * from './assignment.js';
 export * from './attempt-end.js';
 export * from './response-statements.js';
@@ -9,7 +9,7 @@
 export * from './evacuation-changes.js';
 export * from './evacuations.js';
 export * from './configuration-index.js';
-export * from './crash-watch.js';
+export * from './crash-detection.js';
 export * from './gateway-request.js';
 export * from './gateway-state.js';
 export * from './request-admission.js';
@@ -18,7 +18,7 @@
 export * from './quota-limit.js';
 export * from './refusal.js';
 export * from './request-end.js';
-export * from './rights.js';
+export * from './authorization.js';
 export * from './server-admission.js';
 export * from './server-end.js';
 export * from './server-entries.js';
--- a/packages/core/src/gateway/mocks/datagram-network.ts
+++ b/packages/core/src/gateway/mocks/datagram-network.ts
@@ -1,12 +1,12 @@
-/** Datagrams between gateways in virtual time: delayed, lost, and cut. */
+/** Simulates datagrams between gateways in virtual time, with delay, loss and partitions. */
 import type * as assignment from '../assignment.js';
 
 export type NetworkOptions = {
   delayMs: number;
-  /** Part of the datagrams that is lost. */
+  /** Fraction of the datagrams that are lost. */
   lossShare: number;
   drawRandom: () => number;
-  /** Tells whether nothing gets from one address to another at a time. */
+  /** Returns whether the path from one address to another is cut at the given time. */
   isCut: (from: string, to: string, now: number) => boolean;
 };
 
@@ -14,14 +14,14 @@
 
 export type DatagramNetwork = { options: NetworkOptions; inTransit: Datagram[] };
 
-/** Creates a network with nothing on its way. */
+/** Creates a network without datagrams in transit. */
 export function createNetwork(options: NetworkOptions): DatagramNetwork {
   return { options, inTransit: [] };
 }
 
-/** Sends datagrams. */
+/** Sends datagrams; some are lost. */
 export function sendDatagrams(
-  { options, inTransit: onWay }: DatagramNetwork,
+  { options, inTransit }: DatagramNetwork,
   from: string,
   outgoing: readonly assignment.OutgoingMessage[],
   now: number,
@@ -29,13 +29,13 @@
   outgoing
     .filter(({ to }) => !options.isCut(from, to, now))
     .filter(() => options.drawRandom() >= options.lossShare)
-    .forEach((content) => onWay.push({ from, content, dueMs: now + options.delayMs }));
+    .forEach((content) => inTransit.push({ from, content, dueMs: now + options.delayMs }));
 }
 
-/** Takes the next datagram that arrives by a time; all take the same time on their way. */
-export function takeNextDue(
-  { inTransit: onWay }: DatagramNetwork,
-  untilMs: number,
-): Datagram | undefined {
-  return onWay.length > 0 && onWay[0].dueMs <= untilMs ? onWay.shift() : undefined;
+/**
+ * Removes and returns the next datagram that arrives by the given time. All datagrams have the same
+ * delay, so they arrive in the order of sending.
+ */
+export function takeNextDue({ inTransit }: DatagramNetwork, untilMs: number): Datagram | undefined {
+  return inTransit.length > 0 && inTransit[0].dueMs <= untilMs ? inTransit.shift() : undefined;
 }
--- a/packages/core/src/gateway/mocks/gateway-fixture.ts
+++ b/packages/core/src/gateway/mocks/gateway-fixture.ts
@@ -1,4 +1,4 @@
-/** A gateway's state with two engines, and calls that tests make on it. */
+/** Test fixtures for gateway decisions: state, configuration, backend servers and requests. */
 import * as configurationLease from '../configuration-lease.js';
 import * as configurationIndex from '../configuration-index.js';
 import * as configuration from '../configuration.js';
@@ -15,12 +15,12 @@
 export const KEY = 'key-1';
 export const ADDRESS = '10.0.0.1:1';
 
-/** Builds a reading in which all clocks agree. */
+/** Builds a clock reading in which all clocks show the same time. */
 export function buildClocks(steadyMs: number): configurationLease.ClockReading {
   return { steadyMs, wallMs: steadyMs, uptimeMs: steadyMs };
 }
 
-/** Builds a route. */
+/** Builds a route with the given changes to the defaults. */
 export function buildRoute(changes: Partial<configuration.Route> = {}): configuration.Route {
   return {
     name: 'route',
@@ -40,7 +40,7 @@
   };
 }
 
-/** Builds a configuration with one workspace. */
+/** Builds a configuration with one service and, by default, two workspaces. */
 export function buildConfiguration(
   version: number,
   routes: configuration.Route[],
@@ -70,12 +70,12 @@
   };
 }
 
-/** Builds a revision of the store. */
+/** Builds a store revision. */
 export function buildRevision(count: number, epoch = 0): storeRevision.StoreRevision {
   return { epoch, count };
 }
 
-/** Builds the entry of a backend server. */
+/** Builds the store entry of a backend server with the given changes to the defaults. */
 export function buildEntry(
   id: string,
   changes: Partial<backendServerEntry.BackendServerEntry> = {},
@@ -94,7 +94,7 @@
   };
 }
 
-/** Creates a gateway with the given backend servers, confirmed at time 0. */
+/** Creates a gateway with the given backend servers and a configuration confirmed at time 0. */
 export function createTestGateway(
   ids: readonly string[],
   routes: configuration.Route[] = [buildRoute()],
@@ -122,7 +122,7 @@
   return state;
 }
 
-/** Does what can be done, and lists what was sent and refused. */
+/** Runs all scheduling that is possible now and returns the assignments and refusals. */
 export function assignWaiting(
   state: gatewayState.GatewayState,
   clocks: configurationLease.ClockReading,
@@ -130,7 +130,7 @@
   return assignment.advance(state, clocks).assignments;
 }
 
-/** Gets the cell that the gateway schedules for the service. */
+/** Returns the cell of the service, which the gateway schedules itself. */
 export function getCell(state: gatewayState.GatewayState): scheduler.Cell {
   const name = scheduler.formatCellName('one', 0);
   const cell = state.scheduler.cells.get(name) ?? scheduler.createCell(name, 0);
@@ -138,18 +138,21 @@
   return cell;
 }
 
-/** Gets what its scheduler knows of a backend server. */
-export function getLoad(state: gatewayState.GatewayState, id: string): serverHealth.ServerHealth {
+/** Returns the scheduler's record of a backend server's pace and failures. */
+export function getServerHealth(
+  state: gatewayState.GatewayState,
+  id: string,
+): serverHealth.ServerHealth {
   return scheduler.getServerHealth(getCell(state), id);
 }
 
-/** Sets how many other requests of the gateway are at a backend server. */
+/** Sets the number of requests that the gateway has in flight at a backend server. */
 export function setInFlight(state: gatewayState.GatewayState, id: string, requests: number): void {
   gatewayState.addInFlight(state, id, requests - (state.inFlight.get(id) ?? 0));
   pendingAsks.markLinkDirty(state, id, 'one');
 }
 
-/** Builds a request as its caller sent it. */
+/** Builds a caller's request with the given changes to the defaults. */
 export function buildArrived(
   attemptId: string,
   changes: Partial<gatewayRequest.ArrivedRequest> = {},
--- a/packages/core/src/gateway/observations.ts
+++ b/packages/core/src/gateway/observations.ts
@@ -1,11 +1,11 @@
-/** What a gateway sees of backend servers and tells their schedulers. */
+/** Records observations of backend servers that this gateway reports to their schedulers. */
 import * as schema from '@toucanproxy/schema';
 import * as pendingAsks from './pending-asks.js';
 import type * as gatewayRequest from './gateway-request.js';
 import type * as gatewayState from './gateway-state.js';
 
-/** Notes something about the backend server that has a request. */
-function noteOfRequest(
+/** Records an observation of the backend server that a request is assigned to. */
+function noteRequestObservation(
   state: gatewayState.GatewayState,
   { serverId, service }: gatewayRequest.GatewayRequest,
   kind: schema.ServerObservation_Kind,
@@ -17,7 +17,10 @@
   }
 }
 
-/** Notes how long a request waited for its first event at its backend server. */
+/**
+ * Records how long a request waited for the first event from its backend server, less the predicted
+ * time on an idle backend server.
+ */
 export function noteFirstEvent(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -25,24 +28,24 @@
   now: number,
 ): void {
   const { FIRST_EVENT } = schema.ServerObservation_Kind;
-  noteOfRequest(state, request, FIRST_EVENT, ms - request.idleFirstMs, now);
+  noteRequestObservation(state, request, FIRST_EVENT, ms - request.idleFirstMs, now);
 }
 
-/** Notes the time of one unit of work: an event, or a plain answer, milliseconds. */
+/** Records the time of one unit of work, an event or a plain response, in milliseconds. */
 export function noteUnit(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   unitMs: number,
   now: number,
 ): void {
-  noteOfRequest(state, request, schema.ServerObservation_Kind.UNIT, unitMs, now);
+  noteRequestObservation(state, request, schema.ServerObservation_Kind.UNIT, unitMs, now);
 }
 
-/** Notes a good answer. */
+/** Records a successful response. */
 export function noteGoodAnswer(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   now: number,
 ): void {
-  noteOfRequest(state, request, schema.ServerObservation_Kind.GOOD_ANSWER, 0, now);
+  noteRequestObservation(state, request, schema.ServerObservation_Kind.GOOD_ANSWER, 0, now);
 }
--- a/packages/core/src/gateway/pending-asks.ts
+++ b/packages/core/src/gateway/pending-asks.ts
@@ -1,4 +1,11 @@
-/** What a gateway wants to ask the schedulers of cells for, and to tell them. */
+/**
+ * Collects what this gateway will send to the schedulers of cells: requests that need a slot,
+ * withdrawals, and observations of backend servers.
+ *
+ * The backend servers of a service are divided into cells, each with one gateway as its scheduler.
+ * A slot is one request's share of the concurrency of a backend server; identifiers call it a
+ * place. The scheduler of its cell grants it.
+ */
 import * as schema from '@toucanproxy/schema';
 import * as cellMap from './cell-map.js';
 import * as gatewayRequest from './gateway-request.js';
@@ -6,10 +13,10 @@
 import * as schedulerLink from './scheduler-link.js';
 import * as schedulerRanking from './scheduler-ranking.js';
 
-/** Observations that wait to be told, by link; older ones say little. */
+/** Unsent observations kept for each link; older ones are of little use and are dropped. */
 const MAX_KEPT_OBSERVATIONS = 48;
 
-/** Gets the cells of a service. */
+/** Returns the cells of a service. */
 export function getServiceCells(
   state: gatewayState.GatewayState,
   service: string,
@@ -18,7 +25,7 @@
   return cellMap.getServiceCells(state.cellMap, state.servers, service, now);
 }
 
-/** Chooses who schedules a cell. */
+/** Chooses the gateway that schedules a cell. */
 export function chooseScheduler(
   state: gatewayState.GatewayState,
   cellName: string,
@@ -29,7 +36,7 @@
   return schedulerRanking.chooseScheduler(state.ranking, state.peers, own, cellName, now);
 }
 
-/** Gets the link to the scheduler of a cell, made where there is none. */
+/** Returns the link to the scheduler of a cell and creates it if there is none. */
 function getLink(
   state: gatewayState.GatewayState,
   cellName: string,
@@ -46,15 +53,19 @@
   return link;
 }
 
-/** Estimates how full a cell is: requests at its places and before them, by places. */
-function estimateFullness(state: gatewayState.GatewayState, cellName: string): number {
+/**
+ * Estimates the load of a cell: its running and queued requests as last reported, plus the pending
+ * asks of this gateway, divided by its slots.
+ */
+function estimateLoad(state: gatewayState.GatewayState, cellName: string): number {
   const link = state.links.get(cellName);
   return link === undefined || link.places === 0 ? 0 : (link.load + link.asks.size) / link.places;
 }
 
 /**
- * Chooses the cell that a request asks: the emptier of two that are drawn. With the
- * emptiest of all by what was last told, all gateways would ask the same one.
+ * Chooses the cell that a request asks for a slot: the less loaded of two random cells. The
+ * reported loads are slightly old; if every gateway chose the least loaded cell of all, they
+ * would all choose the same one.
  */
 function chooseCell(
   state: gatewayState.GatewayState,
@@ -68,12 +79,12 @@
   const second = left.length > 0 ? drawOne() : undefined;
   return second !== undefined &&
     first !== undefined &&
-    estimateFullness(state, second) < estimateFullness(state, first)
+    estimateLoad(state, second) < estimateLoad(state, first)
     ? second
     : first;
 }
 
-/** Asks for a place for a request; false where no cell is left that may have one. */
+/** Asks a cell for a slot for a request. Returns false if every cell has declined it. */
 export function askPlace(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -91,11 +102,11 @@
 }
 
 /**
- * Asks for a place once more for a request whose grant could not be used, a moment later.
+ * Asks for a slot again, after a short delay, for a request whose grant could not be used.
  *
- * The scheduler has not heard yet that a backend server leaves, and takes the place that
- * is given back as free. Asked at once, it would grant the same place again, hundreds of
- * times a second until it has heard.
+ * The scheduler may not know yet that a backend server is leaving and regards the returned
+ * slot as free. If asked immediately, it would grant the same slot hundreds of times a second
+ * until it is informed.
  */
 export function askPlaceLater(
   state: gatewayState.GatewayState,
@@ -110,7 +121,7 @@
   }
 }
 
-/** Takes back the ask of a request that needs no place any more. */
+/** Withdraws the ask of a request that no longer needs a slot. */
 export function withdrawAsk(
   state: gatewayState.GatewayState,
   { cell, serial }: gatewayRequest.GatewayRequest,
@@ -122,7 +133,10 @@
   }
 }
 
-/** Notes that a place was left, or other news, so that its scheduler hears of it at once. */
+/**
+ * Marks the link to the scheduler of a backend server as dirty, so that the scheduler is informed
+ * at once, for instance of a slot that has become free.
+ */
 export function markLinkDirty(
   state: gatewayState.GatewayState,
   serverId: string,
@@ -135,7 +149,7 @@
   }
 }
 
-/** Notes what was seen of a backend server; its scheduler is told with the next ask. */
+/** Records an observation of a backend server; the next ask carries it to the scheduler. */
 export function noteObservation(
   state: gatewayState.GatewayState,
   { serverId, service }: { serverId: string; service: string },
--- a/packages/core/src/gateway/quota-limit.ts
+++ b/packages/core/src/gateway/quota-limit.ts
@@ -1,42 +1,42 @@
-/** The limits that a declared quota and its tolerance give. */
+/** Computes the limits that result from a declared quota and its tolerance. */
 import * as configuration from './configuration.js';
 
 const MS_PER_SECOND = 1000;
 
-/** What the deployment lets all gateways together admit beyond a quota. */
+/** How much all gateways together may admit beyond a declared quota. */
 export type QuotaTolerance = {
-  /** Part of the quota. */
+  /** Fraction of the declared quota. */
   overage: number;
-  /** Besides, in each window, in the unit of the quota. */
+  /** Additional amount in each window, in the unit of the quota. */
   slack: number;
-  /** Any span of this length counts, milliseconds; 0 where there is no tolerance. */
+  /** Length of the sliding window, milliseconds; 0 for no tolerance. */
   windowMs: number;
 };
 
-/** A quota as it is applied, with its tolerance. */
+/** A quota as enforced, including its tolerance. */
 export type QuotaLimit = configuration.Quota & {
-  /** What a workspace may use at once when nothing is known of its past. */
+  /** Burst that is available to a workspace when nothing is known of its past use. */
   initialBurst: number;
   declared: { perSecond: number; burst: number };
 };
 
-/** Part of a tolerance that widens the burst; the rest widens the rate. */
+/** Fraction of the tolerance that is added to the burst; the rest is added to the rate. */
 const TOLERANCE_BURST_SHARE = 0.5;
 
 /**
- * Raises a quota by its tolerance, which holds for each window anew.
+ * Raises a quota by its tolerance, which applies anew to each window.
  *
- * Requests come in clumps, and one may be a large part of a burst. With the
- * tolerance given out once, as a larger burst, a workspace that sent a fifth more
- * than its quota was refused all day, though no window was near its limit: 110
- * requests of three calm days (3,900 requests) were lost, 18 with the limit of a window.
+ * Requests arrive in clumps, and a single one may be a large part of a burst. When the tolerance
+ * was given only once, as a larger burst, a workspace that sent a fifth more than its quota was
+ * refused all day although no window was near its limit: of the 3,900 requests of three calm
+ * days, 110 were lost, compared with 18 when the tolerance applied to each window.
  *
- * A gateway that has just started knows nothing of the window before it. It begins
- * with its part of the declared burst: with the raised one, what was used before and
- * after a restart of all gateways would add up beyond the limit of one window, and with
- * the whole one, gateways that restart in turn would each give a burst out again.
+ * A gateway that has just started does not know what was used in the current window. It
+ * therefore starts with its part of the declared burst. With the raised burst, the use before and
+ * after a restart of all gateways could exceed the limit of one window; with the whole burst,
+ * each of several gateways that restart in turn would grant a full burst again.
  */
-export function raiseQuota(
+export function applyTolerance(
   quota: configuration.Quota,
   { overage, slack, windowMs }: QuotaTolerance,
 ): QuotaLimit {
@@ -55,7 +55,7 @@
   };
 }
 
-/** Computes what a request costs in the unit of a quota. */
+/** Computes the cost of a request in the unit of a quota. */
 export function computeCost(quota: configuration.Quota, tokens: number | undefined): number {
   return quota.unit === configuration.QuotaUnit.TOKENS ? (tokens ?? quota.defaultTokens) : 1;
 }
--- a/packages/core/src/gateway/rate-limits.test.ts
+++ b/packages/core/src/gateway/rate-limits.test.ts
@@ -24,7 +24,7 @@
   return sent.request;
 }
 
-/** Takes in what an answer says of a rate limit; gives the change. */
+/** Applies the rate limit that a response states and returns the change. */
 function noteRateLimit(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -37,7 +37,7 @@
   return change;
 }
 
-/** Lists the limits that are in force. */
+/** Lists the active rate limits by backend server. */
 function listRateLimits({ servers }: gatewayState.GatewayState): [string, number][] {
   return [...servers.statements].flatMap(([id, { bornMs, rateLimit }]) =>
     rateLimit?.perSecond === undefined || servers.byId.get(id)?.entry.bornMs !== bornMs
@@ -46,11 +46,11 @@
   );
 }
 
-test('limit is named, changed and lifted', () => {
+test('rate limit is set, changed and lifted', () => {
   const state = gatewayFixture.createTestGateway([SERVER]);
   const first = sendRequest(state, 10);
-  const named = noteRateLimit(state, first, 1.5, 20);
-  assert.deepEqual(named, {
+  const set = noteRateLimit(state, first, 1.5, 20);
+  assert.deepEqual(set, {
     server: SERVER,
     change: 'rate-limit',
     perSecond: 1.5,
@@ -72,8 +72,8 @@
   assert.deepEqual(listRateLimits(state), []);
 });
 
-test('answer from before the overload lifts no limit', () => {
-  // Guards against a limit that ends with a late answer to a request sent before it.
+test('response to a request from before the limit does not lift it', () => {
+  // Guards against a limit that is lifted by a late response to a request that was sent before it.
   const state = gatewayFixture.createTestGateway([SERVER]);
   const early = sendRequest(state, 10);
   const other = sendRequest(state, 11);
@@ -82,16 +82,16 @@
   assert.equal(listRateLimits(state).length, 1);
 });
 
-test('limit ends with the life of its server', () => {
+test('rate limit ends when its server restarts', () => {
   const state = gatewayFixture.createTestGateway([SERVER]);
   noteRateLimit(state, sendRequest(state, 10), 2, 20);
-  const reborn = gatewayFixture.buildEntry(SERVER, { bornMs: 2 });
-  serverEntries.applyEntry(state.servers, reborn, 30);
+  const restarted = gatewayFixture.buildEntry(SERVER, { bornMs: 2 });
+  serverEntries.applyEntry(state.servers, restarted, 30);
   assert.deepEqual(listRateLimits(state), []);
 });
 
-test('refusal that is not signed lifts no limit', () => {
-  // Guards against a full server whose plain refusals end the limit that it has named.
+test('unsigned refusal does not lift a rate limit', () => {
+  // Guards against a full server whose unsigned refusals lift the limit that it has set.
   const state = gatewayFixture.createTestGateway([SERVER]);
   noteRateLimit(state, sendRequest(state, 10), 2, 20);
   gatewayFixture.assignWaiting(state, gatewayFixture.buildClocks(30));
--- a/packages/core/src/gateway/refusal.ts
+++ b/packages/core/src/gateway/refusal.ts
@@ -1,25 +1,27 @@
-/** Why a request gets no answer of a backend server, and what its caller is told. */
+/** Refusals: result code and retry delay for a request that gets no backend server's response. */
 import * as schema from '@toucanproxy/schema';
 import type * as tokenQuota from './token-quota.js';
 
 export type Refusal = {
   code: schema.ResultCode;
-  /** When the caller should come back, milliseconds; undefined where it should not. */
+  /** Time after which the caller should retry, milliseconds; undefined if it should not. */
   retryAfterMs: number | undefined;
-  /** What a quota was decided from, where it is spent; for the log. */
-  quota?: tokenQuota.QuotaReading;
+  /** The quota state that the decision was based on, if the quota is spent; for the log. */
+  quota?: tokenQuota.QuotaSnapshot;
 };
 
-/** Shortest advice, milliseconds: a caller comes back over a new connection. */
+/** Minimum retry delay, milliseconds; a caller that retries opens a new connection. */
 const MIN_RETRY_AFTER_MS = 50;
-/** Advice to a caller whose gateway cannot serve it while others may, milliseconds. */
-export const ELSEWHERE_RETRY_AFTER_MS = 100;
+/** Retry delay for a caller that another gateway may be able to serve, milliseconds. */
+export const OTHER_GATEWAY_RETRY_AFTER_MS = 100;
 
-/** Builds a refusal. */
+/** Builds a refusal; a delay that is not finite means that the caller should not retry. */
 export function buildRefusal(code: schema.ResultCode, retryAfterMs?: number): Refusal {
-  const advised = retryAfterMs === undefined || !Number.isFinite(retryAfterMs);
+  const isWithoutAdvice = retryAfterMs === undefined || !Number.isFinite(retryAfterMs);
   return {
     code,
-    retryAfterMs: advised ? undefined : Math.max(Math.round(retryAfterMs), MIN_RETRY_AFTER_MS),
+    retryAfterMs: isWithoutAdvice
+      ? undefined
+      : Math.max(Math.round(retryAfterMs), MIN_RETRY_AFTER_MS),
   };
 }
--- a/packages/core/src/gateway/region-binding.ts
+++ b/packages/core/src/gateway/region-binding.ts
@@ -1,10 +1,10 @@
-/** The regions in which a request may be served, by its route and its workspace. */
+/** Regions to which the route and the workspace of a request restrict it. */
 import type * as configuration from './configuration.js';
 
-/** Regions that a request is bound to; undefined for none. */
+/** Regions in which a request may be served; undefined if it is not restricted. */
 export type RegionBinding = ReadonlySet<string> | undefined;
 
-/** Computes the regions in which both a route and a workspace let requests be served. */
+/** Computes the regions that both a route and a workspace allow. */
 export function computeRegions(
   route: configuration.Route,
   workspace: configuration.WorkspaceDeclaration | undefined,
--- a/packages/core/src/gateway/request-admission.ts
+++ b/packages/core/src/gateway/request-admission.ts
@@ -1,10 +1,10 @@
-/** Decides whether an arrived request is taken in. */
+/** Decides whether an arriving request is admitted. */
 import * as schema from '@toucanproxy/schema';
 import * as retryBudget from '../shared/retry-budget.js';
 import * as pendingAsks from './pending-asks.js';
 import type * as configurationLease from './configuration-lease.js';
 import * as deadlineStats from './deadline-stats.js';
-import * as crashWatch from './crash-watch.js';
+import * as crashDetection from './crash-detection.js';
 import * as configurationIndex from './configuration-index.js';
 import * as configuration from './configuration.js';
 import * as gatewayRequest from './gateway-request.js';
@@ -13,30 +13,30 @@
 import * as quotaLimit from './quota-limit.js';
 import * as refusal from './refusal.js';
 import * as regionBinding from './region-binding.js';
-import * as rights from './rights.js';
+import * as authorization from './authorization.js';
 import * as unservableRequests from './unservable-requests.js';
 import * as tokenQuota from './token-quota.js';
 
-/** Work of a request of a plain service, in tokens; only ratios matter. */
+/** Estimated work of a request to a plain service, in tokens; only the ratios matter. */
 const PLAIN_WORK_TOKENS = 500;
-/** Prompt tokens that cost an engine as much as one token of an answer. */
+/** Number of prompt tokens that cost an engine as much as one response token. */
 const PROMPT_TOKENS_PER_ANSWER_TOKEN = 19;
-/** Time that the answer needs on its way, milliseconds. */
-const WAY_MS = 10;
-/** Urgencies of a route told apart within one of a workspace. */
+/** Time allowed for the response to reach the caller, milliseconds. */
+const RESPONSE_TRANSIT_MS = 10;
+/** Number of route urgencies that are distinguished within each workspace urgency. */
 const ROUTE_URGENCIES = 8;
-/** Time that a caller waits where neither it nor its route says, milliseconds. */
+/** Request timeout if neither the caller nor the route specifies one, milliseconds. */
 const DEFAULT_TIMEOUT_MS = 60_000;
-/** After this time without a configuration's answer a stopping gateway refuses, ms. */
+/** How long requests are still admitted after shutdown was requested, milliseconds. */
 const SHUTDOWN_SERVE_MS = 2500;
-/** Routes whose deadlines are remembered; bounds the memory as routes come and go. */
-const MAX_USUAL_DEADLINES = 4096;
+/** Maximum number of routes with deadline statistics; limits memory use as routes change. */
+const MAX_DEADLINE_STATS = 4096;
 
 export type AdmissionResult =
   | { kind: 'admitted'; request: gatewayRequest.GatewayRequest }
   | { kind: 'refused'; refusal: refusal.Refusal };
 
-/** Estimates the work of a request, in tokens of an answer. */
+/** Estimates the work of a request, in response tokens. */
 function estimateWork(arrived: gatewayRequest.ArrivedRequest): number {
   const { tokens, answerGuess } = arrived;
   if (tokens === undefined) {
@@ -46,13 +46,13 @@
   return tokens.prompt / PROMPT_TOKENS_PER_ANSWER_TOKEN + answer;
 }
 
-/** Ranks a request: the urgency of its workspace goes before that of its route. */
-function rankUrgency({ route, workspace }: rights.Rights): number {
-  const ofRoute = Math.min(route.urgency, ROUTE_URGENCIES - 1);
-  return (workspace?.urgency ?? 0) * ROUTE_URGENCIES + ofRoute;
+/** Computes the tier of a request: workspace urgency first, then route urgency. */
+function rankUrgency({ route, workspace }: authorization.Authorization): number {
+  const routeUrgency = Math.min(route.urgency, ROUTE_URGENCIES - 1);
+  return (workspace?.urgency ?? 0) * ROUTE_URGENCIES + routeUrgency;
 }
 
-/** Tells whether requests of a route may run more than once. */
+/** Returns whether requests of a route may run more than once. */
 function isRepeatable(route: configuration.Route): boolean {
   return (
     route.kind === configuration.RouteKind.SAFE ||
@@ -60,9 +60,9 @@
   );
 }
 
-/** Estimates how long the caller of a request has been trying, milliseconds. */
-function estimateTriedMs(
-  { usualDeadlines }: gatewayState.GatewayState,
+/** Estimates how long the caller of a request has been retrying it, milliseconds. */
+function estimateElapsedMs(
+  { deadlineStatsByRoute }: gatewayState.GatewayState,
   routeName: string,
   workspace: string,
   deadlineMs: number | undefined,
@@ -70,26 +70,26 @@
   if (deadlineMs === undefined) {
     return 0;
   }
-  if (usualDeadlines.size > MAX_USUAL_DEADLINES) {
-    usualDeadlines.clear();
+  if (deadlineStatsByRoute.size > MAX_DEADLINE_STATS) {
+    deadlineStatsByRoute.clear();
   }
-  const usual = usualDeadlines.get(routeName) ?? deadlineStats.createUsualDeadline();
-  usualDeadlines.set(routeName, usual);
-  deadlineStats.noteDeadline(usual, workspace, deadlineMs);
-  return deadlineStats.estimateTriedMs(usual, workspace, deadlineMs);
+  const stats = deadlineStatsByRoute.get(routeName) ?? deadlineStats.createDeadlineStats();
+  deadlineStatsByRoute.set(routeName, stats);
+  deadlineStats.noteDeadline(stats, workspace, deadlineMs);
+  return deadlineStats.estimateElapsedMs(stats, workspace, deadlineMs);
 }
 
-/** Makes the record of a request that has the given rights. */
-function makeRequest(
+/** Creates the state of a request that has the given authorization. */
+function createRequest(
   state: gatewayState.GatewayState,
   arrived: gatewayRequest.ArrivedRequest,
-  granted: rights.Rights,
+  granted: authorization.Authorization,
   service: string,
   now: number,
 ): gatewayRequest.GatewayRequest {
   const { route, workspace } = granted;
   const workspaceName = workspace?.name ?? '';
-  const triedMs = estimateTriedMs(state, route.name, workspaceName, arrived.deadlineMs);
+  const elapsedMs = estimateElapsedMs(state, route.name, workspaceName, arrived.deadlineMs);
   const serial = state.nextSerial;
   state.nextSerial += 1;
   const timeoutMs = Math.min(
@@ -110,10 +110,10 @@
     isBeyondQuota: false,
     version: state.index?.configuration.version ?? 0,
     arrivedMs: now,
-    isBelated: triedMs > route.targetMs,
-    leaveMs: now + Math.min(timeoutMs, route.patienceMs) - WAY_MS,
-    targetMs: now + route.targetMs - WAY_MS,
-    giveUpMs: now + Math.max(timeoutMs - WAY_MS, 0),
+    isBelated: elapsedMs > route.targetMs,
+    leaveMs: now + Math.min(timeoutMs, route.patienceMs) - RESPONSE_TRANSIT_MS,
+    targetMs: now + route.targetMs - RESPONSE_TRANSIT_MS,
+    giveUpMs: now + Math.max(timeoutMs - RESPONSE_TRANSIT_MS, 0),
     phase: gatewayRequest.RequestPhase.WAITING,
     cell: undefined,
     declinedCells: new Set(),
@@ -129,7 +129,7 @@
   };
 }
 
-/** Charges the quota of a workspace; gives the refusal where it is spent. */
+/** Charges the quota of a workspace; returns the refusal if the quota is spent. */
 function applyQuota(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -143,22 +143,22 @@
   const cost = quotaLimit.computeCost(quota, tokens && tokens.prompt + tokens.answer);
   const gateways = peerView.countGateways(state.peers);
   const { startedMs } = state;
-  const fleet = { share: gatewayState.computeShare(state, now), gateways, startedMs };
+  const fleet = { share: gatewayState.computeQuotaShare(state, now), gateways, startedMs };
   const { workspace } = request;
-  const widened = quotaLimit.raiseQuota(quota, state.bounds.quotaTolerance);
+  const toleratedQuota = quotaLimit.applyTolerance(quota, state.bounds.quotaTolerance);
   const claim = { workspace, cost, urgency: request.route.urgency };
-  const decision = tokenQuota.takeQuota(state.quotas, widened, claim, fleet, now);
+  const decision = tokenQuota.takeQuota(state.quotas, toleratedQuota, claim, fleet, now);
   if (decision.kind === 'beyond') {
-    const told = refusal.buildRefusal(schema.ResultCode.QUOTA_SPENT, decision.retryAfterMs);
-    return { ...told, quota: decision.reading };
+    const quotaRefusal = refusal.buildRefusal(schema.ResultCode.QUOTA_SPENT, decision.retryAfterMs);
+    return { ...quotaRefusal, quota: decision.snapshot };
   }
   request.quotaCost = cost;
   request.isBeyondQuota = decision.isBeyondDeclared;
   return undefined;
 }
 
-/** Finds why a request with good rights is not taken in now. */
-function findLimit(
+/** Returns the refusal of an authorized request that cannot be admitted now, if any. */
+function findAdmissionRefusal(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
   now: number,
@@ -166,24 +166,24 @@
   if (state.shutdownMs > 0 && now - state.shutdownMs > SHUTDOWN_SERVE_MS) {
     return refusal.buildRefusal(schema.ResultCode.SHUTTING_DOWN, 0);
   }
-  if (crashWatch.isContentRefused(state, request.arrived.hashContent)) {
+  if (crashDetection.isContentRefused(state, request.arrived.hashContent)) {
     return refusal.buildRefusal(schema.ResultCode.CONTENT_SUSPENDED);
   }
   return unservableRequests.findUnservableRefusal(state, request, now);
 }
 
-/** Takes an arrived request in, or refuses it. */
+/** Admits or refuses an arriving request. */
 export function admitRequest(
   state: gatewayState.GatewayState,
   arrived: gatewayRequest.ArrivedRequest,
   clocks: configurationLease.ClockReading,
 ): AdmissionResult {
   const now = clocks.steadyMs;
-  const decision = rights.findRights(state, arrived, clocks);
+  const decision = authorization.checkAuthorization(state, arrived, clocks);
   if (decision.kind === 'refused') {
     return decision;
   }
-  const { route, workspace } = decision.rights;
+  const { route, workspace } = decision.authorization;
   const service = configurationIndex.chooseService(route, state.drawRandom());
   if (service === undefined) {
     return {
@@ -191,13 +191,14 @@
       refusal: refusal.buildRefusal(schema.ResultCode.NO_BACKEND_SERVER),
     };
   }
-  const request = makeRequest(state, arrived, decision.rights, service, now);
-  const limit = findLimit(state, request, now) ?? applyQuota(state, request, workspace?.quota, now);
-  if (limit !== undefined) {
-    return { kind: 'refused', refusal: limit };
+  const request = createRequest(state, arrived, decision.authorization, service, now);
+  const admissionRefusal =
+    findAdmissionRefusal(state, request, now) ?? applyQuota(state, request, workspace?.quota, now);
+  if (admissionRefusal !== undefined) {
+    return { kind: 'refused', refusal: admissionRefusal };
   }
   state.requests.set(request.serial, request);
-  retryBudget.noteFirstAttempt(gatewayState.getServiceWork(state, service).retries, now);
+  retryBudget.noteFirstAttempt(gatewayState.getServiceState(state, service).retries, now);
   pendingAsks.askPlace(state, request, now);
   return { kind: 'admitted', request };
 }
--- a/packages/core/src/gateway/request-end.ts
+++ b/packages/core/src/gateway/request-end.ts
@@ -1,4 +1,4 @@
-/** Ends requests and settles their accounts. */
+/** Ends requests, releases what they occupy and settles their quota charges. */
 import * as schema from '@toucanproxy/schema';
 import * as pendingAsks from './pending-asks.js';
 import type * as gatewayRequest from './gateway-request.js';
@@ -6,7 +6,7 @@
 import * as refusal from './refusal.js';
 import * as tokenQuota from './token-quota.js';
 
-/** Takes a request from the backend server that has it. */
+/** Releases the slot of a request at its backend server, if it has one. */
 export function releaseServer(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -19,7 +19,7 @@
   }
 }
 
-/** Ends a request that has run or may have. */
+/** Ends a request that has run or may have run. */
 export function endRequest(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -28,7 +28,7 @@
   state.requests.delete(request.serial);
 }
 
-/** Ends a request that has not run: its quota is given back. */
+/** Ends a request that has not run and refunds its quota charge. */
 export function endWithoutRun(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -40,9 +40,11 @@
 }
 
 /**
- * Ends a request that waits and is given up, and builds what its caller is told.
+ * Ends a waiting request and returns the refusal for its caller.
  *
- * One that waits for a repeat has run before, so that "not run" would be untrue.
+ * A request that waits for a retry may have run before; reporting it as not run would be wrong.
+ *
+ * @param notRun the refusal to return if the request has never run
  */
 export function refuseWaiting(
   state: gatewayState.GatewayState,
@@ -57,7 +59,7 @@
   return notRun;
 }
 
-/** Ends a request whose time is over or whose caller has left, wherever it is. */
+/** Ends a request in any phase whose time is over or whose caller has disconnected. */
 export function abandonRequest(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
--- a/packages/core/src/gateway/schedule-replies.ts
+++ b/packages/core/src/gateway/schedule-replies.ts
@@ -1,9 +1,9 @@
 /**
- * What schedulers answer.
+ * Applies the replies of schedulers.
  *
- * Nothing that must always hold depends on an answer: a grant lets a request go to a
- * backend server, once, while it waits here. Answers that are lost, doubled, late or
- * from a scheduler that is not asked any more cost time only.
+ * No safety property depends on a reply: a grant allows a request that waits at this gateway to be
+ * sent once to a backend server. A reply that is lost, duplicated, late or from a replaced
+ * scheduler only costs time.
  */
 import type * as schema from '@toucanproxy/schema';
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
@@ -14,14 +14,14 @@
 import * as schedulerLink from './scheduler-link.js';
 import * as schedulerRanking from './scheduler-ranking.js';
 
-/** What a scheduler decided on a request that waits here. */
+/** A scheduler's decision on a waiting request of this gateway. */
 export type ReplyOutcome =
   | {
       kind: 'granted';
       request: gatewayRequest.GatewayRequest;
       serverId: string;
       idleFirstMs: number;
-      /** What the scheduler knows of the backend server, where that may be news. */
+      /** The server's store entry, if this gateway may not have read it from the store yet. */
       entry: backendServerEntry.BackendServerEntry | undefined;
       isRateLimited: boolean;
       scheduler: string;
@@ -33,7 +33,7 @@
       retryAfterMs: number;
     };
 
-/** Takes in one grant; gives nothing where its request does not wait for it. */
+/** Applies one grant; ignores it if it is too old or its request is not waiting for it. */
 function applyGrant(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
@@ -72,7 +72,7 @@
   ];
 }
 
-/** Takes in one refusal. */
+/** Applies one refusal; ignores it if its request is not waiting for it. */
 function applyRefusal(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
@@ -86,11 +86,11 @@
 }
 
 /**
- * Takes in a reply.
+ * Applies a reply.
  *
- * A grant was decided after the ask that the reply echoes was sent. One whose ask was
- * sent too long ago is not used: a scheduler that was suspended wakes and sends what it
- * had decided before, and another one has given the place out since.
+ * A grant was decided after the ask that the reply echoes was sent. It is not used if that ask was
+ * sent too long ago: a scheduler that was suspended may resume and send old decisions after
+ * another scheduler has granted the same slot.
  */
 export function applyReply(
   state: gatewayState.GatewayState,
--- a/packages/core/src/gateway/server-admission.test.ts
+++ b/packages/core/src/gateway/server-admission.test.ts
@@ -11,14 +11,14 @@
 import * as serverStatements from './server-statements.js';
 
 const { test } = nodeTest;
-const LIFE = { id: 'a', bornMs: 1 };
+const INCARNATION = { id: 'a', bornMs: 1 };
 
-/** Creates a gateway with a request that was assigned to its only backend server. */
+/** Creates a gateway with a request that is assigned to its only backend server. */
 function createAssigned(): {
   state: gatewayState.GatewayState;
   request: gatewayRequest.GatewayRequest;
 } {
-  const state = gatewayFixture.createTestGateway([LIFE.id]);
+  const state = gatewayFixture.createTestGateway([INCARNATION.id]);
   requestAdmission.admitRequest(
     state,
     gatewayFixture.buildArrived('call'),
@@ -34,27 +34,28 @@
   assert.ok(serverAdmission.isStillUsable(state, request, 100));
 });
 
-test('nothing is sent after a departure or during a backoff', () => {
-  // Guards against requests that were assigned before the answer and connect after it.
+test('nothing is sent to a leaving server or during a backoff', () => {
+  // Guards against sending a request that was assigned before the server stated this and whose
+  // connection opens after it.
   const leaving = createAssigned();
-  const departure = { ...serverStatements.EMPTY_STATEMENT, isLeaving: true };
-  backendServers.applyStatement(leaving.state.servers, LIFE, departure, 50);
+  const leavingStatement = { ...serverStatements.EMPTY_STATEMENT, isLeaving: true };
+  backendServers.applyStatement(leaving.state.servers, INCARNATION, leavingStatement, 50);
   assert.equal(serverAdmission.isStillUsable(leaving.state, leaving.request, 100), false);
   const backingOff = createAssigned();
-  const backoff = { ...serverStatements.EMPTY_STATEMENT, backoffMs: 200 };
-  backendServers.applyStatement(backingOff.state.servers, LIFE, backoff, 50);
+  const backoffStatement = { ...serverStatements.EMPTY_STATEMENT, backoffMs: 200 };
+  backendServers.applyStatement(backingOff.state.servers, INCARNATION, backoffStatement, 50);
   assert.equal(serverAdmission.isStillUsable(backingOff.state, backingOff.request, 100), false);
   assert.ok(serverAdmission.isStillUsable(backingOff.state, backingOff.request, 300));
 });
 
-test('nothing is sent to another life', () => {
+test('nothing is sent to a server that has restarted', () => {
   const { state, request } = createAssigned();
   serverEntries.applyEntry(state.servers, gatewayFixture.buildEntry('a', { bornMs: 2 }), 50);
   assert.equal(serverAdmission.isStillUsable(state, request, 100), false);
 });
 
-test('withdrawn request waits again and blames nobody', () => {
-  // Guards against a backend server that is paused for a request which it never got.
+test('withdrawn request waits again and is not counted as a failure', () => {
+  // Guards against pausing a backend server because of a request that it never received.
   const { state, request } = createAssigned();
   const clocks = gatewayFixture.buildClocks(50);
   const fault = attemptEnd.AttemptFault.WITHDRAWN;
@@ -63,5 +64,5 @@
   assert.equal(verdict.kind, 'again');
   assert.equal(request.runs, 0);
   gatewayFixture.assignWaiting(state, clocks);
-  assert.equal(gatewayFixture.getLoad(state, 'a').failuresInRow, 0);
+  assert.equal(gatewayFixture.getServerHealth(state, 'a').failuresInRow, 0);
 });
--- a/packages/core/src/gateway/server-admission.ts
+++ b/packages/core/src/gateway/server-admission.ts
@@ -1,8 +1,8 @@
 /**
- * Whether a backend server may be sent a request now.
+ * Decides whether a request may be sent to a backend server now.
  *
- * Asked when a grant is used, and once more right before the first byte leaves: a scheduler may
- * not have heard of a change, and a connection may take tenths of a second to open.
+ * Checked when a grant is used and again right before the first byte is sent: the scheduler may
+ * not know of a recent change, and opening a connection may take tenths of a second.
  */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as allowedDomains from './allowed-domains.js';
@@ -14,12 +14,12 @@
 
 /** Why a backend server may not be used. */
 export enum UnusableReason {
-  /** It leaves, is gone, or another one is at its address. */
+  /** It is leaving or gone, or another one has taken over its address. */
   NOT_IN_SERVICE = 'not-in-service',
   EVACUATED = 'evacuated',
-  /** It lies outside the regions of the request. */
+  /** It is outside the regions in which the request may be served. */
   REGION = 'region',
-  /** It takes nothing from this gateway for now. */
+  /** It has asked this gateway to send nothing for some time. */
   BACKOFF = 'backoff',
 }
 
@@ -27,7 +27,7 @@
   | { kind: 'usable'; server: backendServerEntry.BackendServerEntry }
   | { kind: 'unusable'; reason: UnusableReason };
 
-/** Decides whether a backend server may be sent a request now. */
+/** Decides whether a request may be sent to a backend server now. */
 export function admitToServer(
   state: gatewayState.GatewayState,
   { regions }: gatewayRequest.GatewayRequest,
@@ -54,7 +54,10 @@
     : { kind: 'usable', server };
 }
 
-/** Tells whether the backend server that a request was assigned to may still be sent it. */
+/**
+ * Returns whether a request may still be sent to the backend server that it was assigned to. A
+ * server that has restarted since the assignment is not used.
+ */
 export function isStillUsable(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
--- a/packages/core/src/gateway/token-quota.test.ts
+++ b/packages/core/src/gateway/token-quota.test.ts
@@ -12,11 +12,11 @@
   burst: 1000,
   defaultTokens: 10,
 };
-const QUOTA = quotaLimit.raiseQuota(DECLARED, { overage: 0, slack: 0, windowMs: 0 });
+const QUOTA = quotaLimit.applyTolerance(DECLARED, { overage: 0, slack: 0, windowMs: 0 });
 
-/** Asks for tokens of the workspace. */
+/** Charges the workspace with a request of the given cost. */
 function takeTokens(
-  book: tokenQuota.QuotaBook,
+  quotas: tokenQuota.QuotaState,
   quota: quotaLimit.QuotaLimit,
   cost: number,
   share: number,
@@ -24,7 +24,7 @@
   urgency = 0,
 ): tokenQuota.QuotaDecision {
   return tokenQuota.takeQuota(
-    book,
+    quotas,
     quota,
     { workspace: 'w', cost, urgency },
     { share, gateways: 1, startedMs: now },
@@ -32,47 +32,47 @@
   );
 }
 
-/** Takes requests of 100 tokens and counts those that are within the quota. */
-function countWithin(book: tokenQuota.QuotaBook, share: number, fromMs: number, toMs: number) {
+/** Sends a request of 100 tokens each 20 ms and counts those that are within the quota. */
+function countWithin(quotas: tokenQuota.QuotaState, share: number, fromMs: number, toMs: number) {
   let within = 0;
   for (let now = fromMs; now < toMs; now += 20) {
-    within += Number(takeTokens(book, QUOTA, 100, share, now).kind === 'within');
+    within += Number(takeTokens(quotas, QUOTA, 100, share, now).kind === 'within');
   }
   return within;
 }
 
 test('rate and burst', () => {
-  const book = tokenQuota.createQuotaBook();
-  const within = countWithin(book, 1, 0, 4000);
+  const quotas = tokenQuota.createQuotaState();
+  const within = countWithin(quotas, 1, 0, 4000);
   assert.ok(within >= 49 && within <= 51, String(within));
 });
 
 const TOLERANCE: quotaLimit.QuotaTolerance = { overage: 0.25, slack: 4000, windowMs: 8000 };
 
-/** Time without requests before a load, milliseconds: the burst is there in full. */
+/** Time without requests before the load, milliseconds; long enough for the full burst. */
 const QUIET_MS = 20_000;
 
-/** Lists when requests of 100 tokens are within a quota, asked for each so many milliseconds. */
+/** Sends requests of 100 tokens at an interval and lists the times of those within the quota. */
 function listWithin(quota: quotaLimit.QuotaLimit, everyMs: number, untilMs: number): number[] {
-  const book = tokenQuota.createQuotaBook();
-  takeTokens(book, quota, 0, 1, -QUIET_MS);
+  const quotas = tokenQuota.createQuotaState();
+  takeTokens(quotas, quota, 0, 1, -QUIET_MS);
   const asked = Array.from({ length: untilMs / everyMs }, (_, index) => index * everyMs);
-  return asked.filter((now) => takeTokens(book, quota, 100, 1, now).kind === 'within');
+  return asked.filter((now) => takeTokens(quotas, quota, 100, 1, now).kind === 'within');
 }
 
-test('tolerance holds for each window', () => {
-  // A workspace sends a third more than its quota for a minute, which the tolerance
-  // of each window allows. Where it is given out once, all that is asked after the
-  // first seconds beyond the quota is refused, though no window is near its limit.
-  const raised = quotaLimit.raiseQuota(DECLARED, TOLERANCE);
+test('tolerance applies to each window', () => {
+  // For a minute, a workspace sends a third more than its quota, which the tolerance of each
+  // window allows. If the tolerance were given only once, the excess would be refused after the
+  // first seconds, although no window is near its limit.
+  const raised = quotaLimit.applyTolerance(DECLARED, TOLERANCE);
   const everyMs = 75;
   assert.equal(listWithin(raised, everyMs, 60_000).length, 60_000 / everyMs);
 });
 
-test('no window beyond the tolerance', () => {
-  // A workspace sends ten times its quota. Whatever span of a window's length is
-  // taken, no more is admitted than the quota and its tolerance allow.
-  const raised = quotaLimit.raiseQuota(DECLARED, TOLERANCE);
+test('no window exceeds the tolerance', () => {
+  // A workspace sends ten times its quota. In any time span of the window's length, no more is
+  // admitted than the quota and its tolerance allow.
+  const raised = quotaLimit.applyTolerance(DECLARED, TOLERANCE);
   const admitted = listWithin(raised, 10, 60_000);
   const most = (DECLARED.perSecond * 8 + DECLARED.burst) * (1 + TOLERANCE.overage) + 4000;
   const fullest = Math.max(
@@ -82,80 +82,79 @@
   assert.ok(fullest * 100 >= 0.9 * most, String(fullest));
 });
 
-test('restart begins with the declared burst', () => {
-  // All gateways are killed after a workspace used a window up, and start again at
-  // once without a memory of it. The raised burst on top of that window would be
-  // beyond its limit.
-  const raised = quotaLimit.raiseQuota(DECLARED, TOLERANCE);
+test('restarted gateways begin with the declared burst', () => {
+  // All gateways are killed after a workspace has used up a window, and restart at once without
+  // knowing of it. With the raised burst, the use in that window would exceed its limit.
+  const raised = quotaLimit.applyTolerance(DECLARED, TOLERANCE);
   const { burst } = DECLARED;
-  assert.equal(takeTokens(tokenQuota.createQuotaBook(), raised, burst, 1, 0).kind, 'within');
-  assert.equal(takeTokens(tokenQuota.createQuotaBook(), raised, burst + 1, 1, 0).kind, 'beyond');
+  assert.equal(takeTokens(tokenQuota.createQuotaState(), raised, burst, 1, 0).kind, 'within');
+  assert.equal(takeTokens(tokenQuota.createQuotaState(), raised, burst + 1, 1, 0).kind, 'beyond');
 });
 
-test('two gateways that hear each other', () => {
-  // A workspace sends many times its quota to two gateways. Each tells the other
-  // five times a second what it admitted; together they stay near one quota.
-  const books = [tokenQuota.createQuotaBook(), tokenQuota.createQuotaBook()];
-  const told = [0, 0];
+test('two gateways that reach each other', () => {
+  // A workspace sends many times its quota to two gateways. Each reports to the other five times
+  // a second what it has admitted; together they stay near one quota.
+  const allQuotas = [tokenQuota.createQuotaState(), tokenQuota.createQuotaState()];
+  const reported = [0, 0];
   let within = 0;
   for (let now = 0; now < 8000; now += 200) {
     const beginMs = now;
-    const taken = books.map((book) => countWithin(book, 1, beginMs, beginMs + 200));
+    const taken = allQuotas.map((quotas) => countWithin(quotas, 1, beginMs, beginMs + 200));
     within += taken[0] + taken[1];
-    books.forEach((book, index) => {
-      const used = tokenQuota.listUse(book, 1)[0]?.used ?? 0;
-      tokenQuota.applyPeerUse(books[1 - index], 'w', used - told[index], now);
-      told[index] = used;
+    allQuotas.forEach((quotas, index) => {
+      const used = tokenQuota.listUse(quotas, 1)[0]?.used ?? 0;
+      tokenQuota.applyPeerUse(allQuotas[1 - index], 'w', used - reported[index], now);
+      reported[index] = used;
     });
   }
   assert.ok(within * 100 <= 9000 * 1.25, String(within));
   assert.ok(within * 100 >= 9000 * 0.8, String(within));
 });
 
-test('silent peer keeps its share', () => {
-  const book = tokenQuota.createQuotaBook();
-  const within = countWithin(book, 0.5, 0, 8000);
+test('share of an unreachable peer is reserved', () => {
+  const quotas = tokenQuota.createQuotaState();
+  const within = countWithin(quotas, 0.5, 0, 8000);
   assert.ok(within * 100 <= 4600, String(within));
 });
 
-test('one larger than the burst', () => {
-  const book = tokenQuota.createQuotaBook();
-  assert.equal(takeTokens(book, QUOTA, 3000, 1, 0).kind, 'within');
-  const next = takeTokens(book, QUOTA, 100, 1, 0);
+test('request larger than the burst', () => {
+  const quotas = tokenQuota.createQuotaState();
+  assert.equal(takeTokens(quotas, QUOTA, 3000, 1, 0).kind, 'within');
+  const next = takeTokens(quotas, QUOTA, 100, 1, 0);
   assert.equal(next.kind, 'beyond');
   assert.equal(next.kind === 'beyond' && Math.round(next.retryAfterMs), 2100);
 });
 
-test('urgent ones of a workspace first', () => {
-  // A workspace sends ten times its quota, nine tenths of it less urgent requests.
-  // First come, first served, nine in ten of the urgent ones would be refused.
-  const book = tokenQuota.createQuotaBook();
+test('urgent requests of a workspace go first', () => {
+  // A workspace sends ten times its quota, nine tenths of it in less urgent requests. If requests
+  // were served in order of arrival, nine in ten of the urgent ones would be refused.
+  const quotas = tokenQuota.createQuotaState();
   const within = [0, 0];
   for (let now = 0; now < 20_000; now += 10) {
     const urgency = now % 100 === 50 ? 0 : 1;
-    within[urgency] += Number(takeTokens(book, QUOTA, 100, 1, now, urgency).kind === 'within');
+    within[urgency] += Number(takeTokens(quotas, QUOTA, 100, 1, now, urgency).kind === 'within');
   }
   assert.ok(within[0] >= 195, String(within));
 });
 
-test('less urgent ones alone have it all', () => {
-  const book = tokenQuota.createQuotaBook();
-  takeTokens(book, QUOTA, 100, 1, 0, 0);
+test('less urgent requests alone get the whole quota', () => {
+  const quotas = tokenQuota.createQuotaState();
+  takeTokens(quotas, QUOTA, 100, 1, 0, 0);
   let within = 0;
   for (let now = 20_000; now < 24_000; now += 20) {
-    within += Number(takeTokens(book, QUOTA, 100, 1, now, 3).kind === 'within');
+    within += Number(takeTokens(quotas, QUOTA, 100, 1, now, 3).kind === 'within');
   }
   assert.ok(within >= 49, String(within));
 });
 
-test('not run, not charged', () => {
-  const book = tokenQuota.createQuotaBook();
-  takeTokens(book, QUOTA, 1000, 1, 0);
-  tokenQuota.releaseQuota(book, 'w', 1000);
-  assert.equal(takeTokens(book, QUOTA, 1000, 1, 0).kind, 'within');
+test('request that was not run is not charged', () => {
+  const quotas = tokenQuota.createQuotaState();
+  takeTokens(quotas, QUOTA, 1000, 1, 0);
+  tokenQuota.releaseQuota(quotas, 'w', 1000);
+  assert.equal(takeTokens(quotas, QUOTA, 1000, 1, 0).kind, 'within');
 });
 
-/** Builds a report of a peer. */
+/** Builds a peer's report. */
 function buildReport(sequence: number, used: number, life = 'a'): peerView.PeerReport {
   return {
     address: '10.0.0.2:1',
@@ -169,9 +168,10 @@
   };
 }
 
-test('totals of peers', () => {
-  // Reports are lost, doubled and out of order, and a peer that has run for long
-  // is heard for the first time. What it admitted is charged once.
+test('totals that peers report', () => {
+  // Reports are lost, duplicated and out of order, and the first report of a peer arrives after it
+  // has run for a long time. What it admitted before that report is not charged; what it admits
+  // later is charged once.
   const view = peerView.createPeerView();
   assert.deepEqual(peerView.applyReport(view, buildReport(900, 1e9), 0), []);
   assert.deepEqual(peerView.applyReport(view, buildReport(905, 1e9 + 500), 1), [
@@ -184,19 +184,19 @@
   ]);
 });
 
-test('young peers are charged at once', () => {
-  // All gateways were killed and start at the same moment. Until they hear each other
-  // each admits by itself; what a peer has admitted in its first seconds counts as
-  // soon as it is heard, or a workspace gets that on top of its limit.
+test('use that a newly started peer reports is charged at once', () => {
+  // All gateways were killed and restart at the same moment. Until they receive reports, each
+  // admits requests independently. What a peer admitted in its first seconds must be charged with
+  // its first report; otherwise a workspace would get that amount beyond its limit.
   const view = peerView.createPeerView();
   assert.deepEqual(peerView.applyReport(view, buildReport(2, 300), 0), [
     { workspace: 'w', amount: 300 },
   ]);
 });
 
-test('a young gateway that leaves is charged once', () => {
-  // A gateway that has just started is told to stop and says so with each report until it
-  // is gone. Its total counts once, and a late report from before does not bring it back.
+test('use of a newly started gateway that leaves is charged once', () => {
+  // A gateway that has just started shuts down and announces this in each report until it is
+  // gone. Its total counts once, and a late report from before does not add it to the peers again.
   const view = peerView.createPeerView();
   const leaving = { leaving: true };
   assert.equal(peerView.applyReport(view, { ...buildReport(2, 300), ...leaving }, 0).length, 1);
@@ -206,52 +206,52 @@
 });
 
 test('gateways that restart in turn', () => {
-  // Twenty-six gateways restart one after the other while a workspace is beyond its
-  // quota. Each begins with its part of the burst; all together give out one.
+  // Twenty-six gateways restart in turn while a workspace exceeds its quota. Each begins with its
+  // part of the burst; all together admit one burst.
   const gateways = 26;
   const claim = { workspace: 'w', cost: 10, urgency: 0 };
   let used = 0;
   for (let index = 0; index < gateways; index += 1) {
-    const book = tokenQuota.createQuotaBook();
+    const quotas = tokenQuota.createQuotaState();
     const fleet = { share: 1, gateways, startedMs: 0 };
-    while (tokenQuota.takeQuota(book, QUOTA, claim, fleet, 0).kind === 'within') {
+    while (tokenQuota.takeQuota(quotas, QUOTA, claim, fleet, 0).kind === 'within') {
       used += claim.cost;
     }
   }
   assert.ok(used <= QUOTA.burst, String(used));
 });
 
-test('filled since the start, where nobody used it', () => {
-  // A gateway has run for ten seconds when a workspace asks for the first time. Its
-  // whole burst is there, unless peers have admitted requests of the workspace.
+test('bucket is refilled from the start if the quota was not used', () => {
+  // A gateway has run for ten seconds when the first request of a workspace arrives. The whole
+  // burst is available unless peers have admitted requests of the workspace.
   const fleet = { share: 1, gateways: 4, startedMs: 0 };
   const claim = { workspace: 'w', cost: QUOTA.burst, urgency: 0 };
-  const unused = tokenQuota.createQuotaBook();
+  const unused = tokenQuota.createQuotaState();
   assert.equal(tokenQuota.takeQuota(unused, QUOTA, claim, fleet, 10_000).kind, 'within');
-  const used = tokenQuota.createQuotaBook();
+  const used = tokenQuota.createQuotaState();
   tokenQuota.applyPeerUse(used, 'w', 10, 10_000);
   assert.equal(tokenQuota.takeQuota(used, QUOTA, claim, fleet, 10_000).kind, 'beyond');
 });
 
-test('filled until peers used it, and less what they used', () => {
-  // Twenty-six gateways have run for ten seconds when callers come. The first request of
-  // a workspace at this one comes after peers have admitted a fifth of its burst: four
-  // fifths are left. Begun with a twenty-sixth, the bucket would refuse all day what is
-  // within the quota.
+test('bucket is refilled from the start and charged with the use of peers', () => {
+  // Twenty-six gateways have run for ten seconds when callers arrive. The first request of a
+  // workspace at this gateway arrives after peers have admitted a fifth of its burst, so four
+  // fifths are left. If the bucket began with a twenty-sixth, requests within the quota would be
+  // refused all day.
   const fleet = { share: 1, gateways: 26, startedMs: 0 };
-  const book = tokenQuota.createQuotaBook();
-  tokenQuota.applyPeerUse(book, 'w', QUOTA.burst / 10, 10_000);
-  tokenQuota.applyPeerUse(book, 'w', QUOTA.burst / 10, 10_010);
+  const quotas = tokenQuota.createQuotaState();
+  tokenQuota.applyPeerUse(quotas, 'w', QUOTA.burst / 10, 10_000);
+  tokenQuota.applyPeerUse(quotas, 'w', QUOTA.burst / 10, 10_010);
   const most = { workspace: 'w', cost: 0.8 * QUOTA.burst, urgency: 0 };
-  assert.equal(tokenQuota.takeQuota(book, QUOTA, most, fleet, 10_010).kind, 'within');
+  assert.equal(tokenQuota.takeQuota(quotas, QUOTA, most, fleet, 10_010).kind, 'within');
   const more = { ...most, cost: 0.05 * QUOTA.burst };
-  assert.equal(tokenQuota.takeQuota(book, QUOTA, more, fleet, 10_010).kind, 'beyond');
+  assert.equal(tokenQuota.takeQuota(quotas, QUOTA, more, fleet, 10_010).kind, 'beyond');
 });
 
-test('many peers are heard less often', () => {
-  // Reports go to sixteen peers in turn, so that among 410 gateways each is heard
-  // every five seconds. Taken as silent in between, nearly the whole of each quota
-  // would be kept free for them.
+test('reports of many peers arrive less often', () => {
+  // Each gateway sends its reports to sixteen peers at a time, in turn, so among 410 gateways a
+  // report of each arrives every five seconds. If peers counted as unreachable in between, nearly
+  // all of each quota would be reserved for them.
   const view = peerView.createPeerView();
   for (let index = 0; index < 409; index += 1) {
     const address = `10.0.${Math.floor(index / 200)}.${index % 200}:1`;
@@ -261,7 +261,7 @@
   assert.equal(peerView.countUnreachablePeers(view, 30_000), 409);
 });
 
-test('silent peers count, departed ones do not', () => {
+test('unreachable peers count, departed ones do not', () => {
   const view = peerView.createPeerView();
   peerView.applyReport(view, buildReport(1, 0), 0);
   assert.equal(peerView.countGateways(view), 2);
--- a/packages/core/src/gateway/token-quota.ts
+++ b/packages/core/src/gateway/token-quota.ts
@@ -1,59 +1,59 @@
 /**
- * Quotas of workspaces over all gateways together.
+ * Enforces the quotas of workspaces across all gateways.
  *
- * Each gateway keeps a token bucket for each workspace and charges it with what
- * it admits itself and with what its peers report. A peer that has fallen silent
- * may be dead or may serve on behind a partition; the part of the quota that it
- * would have, an equal share, is kept free for it, so that both sides of a
- * partition together stay within the limit.
+ * Each gateway keeps a token bucket for each workspace and charges it with the requests that it
+ * admits and with those that its peers report. A peer that stops reporting may be dead, or it may
+ * still be serving on the other side of a network partition. Its equal share of the quota is
+ * therefore reserved, so that both sides of a partition together stay within the limit.
  */
 import type * as quotaLimit from './quota-limit.js';
 
 type Bucket = {
+  /** Amount left, in the unit of the quota; below 0 if overdrawn. */
   level: number;
-  /** The same of the declared quota, without its tolerance. */
+  /** Amount left of the declared quota, without its tolerance. */
   declaredLevel: number;
   updatedMs: number;
-  /** Admitted here since the start. */
+  /** Amount that this gateway has admitted since its start. */
   used: number;
-  /** When a request of each urgency was last asked for, milliseconds. */
+  /** When a request of each urgency last arrived, milliseconds. */
   askedMs: Map<number, number>;
 };
 
 const MS_PER_SECOND = 1000;
-/** A workspace beyond its declared quota is within it again after this time, seconds. */
-const LONGEST_DEBT_S = 1;
+/** After exceeding its declared quota, a workspace is within it again after this time, seconds. */
+const MAX_DEBT_S = 1;
 
-/** What peers admitted for a workspace before anything was asked for here. */
+/** Amount that peers admitted for a workspace before its first request at this gateway. */
 type EarlyUse = { sinceMs: number; amount: number };
 
-export type QuotaBook = {
+export type QuotaState = {
   buckets: Map<string, Bucket>;
   /** By workspace. */
   earlyUse: Map<string, EarlyUse>;
 };
 
-/** What is known of the gateways that a quota holds for together. */
+/** The gateways that share a quota. */
 export type QuotaFleet = {
-  /** Part of the quota that this gateway may use by itself, next to silent ones. */
+  /** Part of the quota that is not reserved for unreachable gateways, 0 to 1. */
   share: number;
-  /** Gateways that may be serving, this one included. */
+  /** Number of gateways that may be serving, including this one. */
   gateways: number;
   /** When this gateway started, milliseconds. */
   startedMs: number;
 };
 
-/** Creates a book in which nothing was used. */
-export function createQuotaBook(): QuotaBook {
+/** Creates the quota state of a gateway at its start. */
+export function createQuotaState(): QuotaState {
   return { buckets: new Map(), earlyUse: new Map() };
 }
 
 /**
- * Computes what is left of the declared quota after a time.
+ * Computes what is left of the declared quota after some time.
  *
- * What the tolerance let in is not held against a workspace for long: the level is
- * bounded below. Without the bound a workspace that was at twice its quota for ten
- * seconds would stand behind the others for ten more.
+ * The level has a lower limit, so that requests admitted within the tolerance count against a
+ * workspace only briefly. Without the limit, a workspace that used twice its quota for ten
+ * seconds would be scheduled behind the others for another ten.
  */
 function computeDeclaredLevel(
   { declaredLevel }: Bucket,
@@ -61,12 +61,12 @@
   seconds: number,
   share: number,
 ): number {
-  const lowest = -declared.perSecond * share * LONGEST_DEBT_S;
+  const lowest = -declared.perSecond * share * MAX_DEBT_S;
   const grown = Math.max(declaredLevel, lowest) + declared.perSecond * seconds;
   return Math.min(grown, declared.burst * share);
 }
 
-/** Fills a bucket up to a time. */
+/** Refills a bucket for the time since its last update. */
 function updateBucket(
   bucket: Bucket,
   quota: quotaLimit.QuotaLimit,
@@ -80,55 +80,55 @@
 }
 
 /**
- * Creates the bucket of a workspace for which nothing was asked here.
+ * Creates the bucket of a workspace at its first request.
  *
- * It has been filling up since this gateway started, and what peers admitted meanwhile
- * is charged. Begun at the first request, it would refuse requests within their quotas
- * for the first seconds, and the more so the more gateways share the quota.
+ * The bucket is refilled from the start of this gateway and charged with what peers have admitted
+ * since. If it were refilled only from the first request on, requests within the quota would be
+ * refused during the first seconds, and more of them the more gateways share the quota.
  */
 function createBucket(
-  book: QuotaBook,
+  quotas: QuotaState,
   workspace: string,
   quota: quotaLimit.QuotaLimit,
   { share, gateways, startedMs }: QuotaFleet,
 ): Bucket {
   const level = (quota.initialBurst * share) / gateways;
-  const begun = { level, declaredLevel: level, updatedMs: startedMs, used: 0 };
-  const bucket = { ...begun, askedMs: new Map<number, number>() };
-  const early = book.earlyUse.get(workspace);
+  const levels = { level, declaredLevel: level, updatedMs: startedMs, used: 0 };
+  const bucket = { ...levels, askedMs: new Map<number, number>() };
+  const early = quotas.earlyUse.get(workspace);
   if (early !== undefined) {
     updateBucket(bucket, quota, share, early.sinceMs);
     lowerLevels(bucket, early.amount);
-    book.earlyUse.delete(workspace);
+    quotas.earlyUse.delete(workspace);
   }
   return bucket;
 }
 
-/** Gets the bucket of a workspace, filled up to the present time. */
+/** Returns the bucket of a workspace, refilled up to the present time. */
 function getBucket(
-  book: QuotaBook,
+  quotas: QuotaState,
   workspace: string,
   quota: quotaLimit.QuotaLimit,
   fleet: QuotaFleet,
   now: number,
 ): Bucket {
-  const bucket = book.buckets.get(workspace) ?? createBucket(book, workspace, quota, fleet);
-  book.buckets.set(workspace, bucket);
+  const bucket = quotas.buckets.get(workspace) ?? createBucket(quotas, workspace, quota, fleet);
+  quotas.buckets.set(workspace, bucket);
   updateBucket(bucket, quota, fleet.share, now);
   return bucket;
 }
 
-/** What a decision on a quota was made from, in the unit of the quota. */
-export type QuotaReading = {
+/** The state that a quota decision was based on, in the unit of the quota. */
+export type QuotaSnapshot = {
   workspace: string;
   cost: number;
-  /** What had to be left; more than the cost where more urgent requests come. */
+  /** Level that was required; above the cost if the workspace also sends more urgent requests. */
   needed: number;
-  /** Left in the bucket; below 0 where the gateways together have overdrawn it. */
+  /** Level of the bucket; below 0 if the gateways together have overdrawn it. */
   level: number;
   perSecond: number;
   burst: number;
-  /** Part of the quota that this gateway may use by itself. */
+  /** Part of the quota that is not reserved for unreachable gateways, 0 to 1. */
   share: number;
 };
 
@@ -138,7 +138,7 @@
   bucket.declaredLevel -= amount;
 }
 
-/** What a quota is asked for. */
+/** A charge that is requested from a quota. */
 export type QuotaClaim = {
   workspace: string;
   /** In the unit of the quota. */
@@ -148,21 +148,20 @@
 };
 
 /**
- * How many times its cost must be left for a request, for each more urgent tier that
- * its workspace asks for. Load pattern: a workspace sends several times its quota,
- * mostly less urgent requests. First come, first served, these spend what its urgent
- * ones need.
+ * For each more urgent tier that its workspace uses, a request needs this many times as much left
+ * in the bucket. Otherwise a workspace that sends several times its quota, mostly in less urgent
+ * requests, would spend on these what its urgent requests need.
  */
-const RESERVE = 4;
-/** A tier counts for this long after its last request, milliseconds. */
-const TIER_MS = 10_000;
+const RESERVE_FACTOR = 4;
+/** A tier counts as used for this long after its last request, milliseconds. */
+const TIER_IN_USE_MS = 10_000;
 
-/** Counts the more urgent tiers that a workspace has asked for lately. */
+/** Counts the more urgent tiers that a workspace has used recently. */
 function countMoreUrgent({ askedMs }: Bucket, urgency: number, now: number): number {
-  return [...askedMs].filter(([other, ms]) => other < urgency && now - ms <= TIER_MS).length;
+  return [...askedMs].filter(([other, ms]) => other < urgency && now - ms <= TIER_IN_USE_MS).length;
 }
 
-/** Computes what must be left in a bucket for a request. */
+/** Computes the level that a bucket must have to admit a request. */
 function computeNeeded(
   bucket: Bucket,
   { burst }: quotaLimit.QuotaLimit,
@@ -170,29 +169,29 @@
   { share }: QuotaFleet,
   now: number,
 ): number {
-  const reserve = RESERVE ** countMoreUrgent(bucket, urgency, now);
+  const reserve = RESERVE_FACTOR ** countMoreUrgent(bucket, urgency, now);
   return Math.min(cost * reserve, burst * share);
 }
 
 export type QuotaDecision =
-  | { kind: 'within'; /** Only the tolerance lets it in. */ isBeyondDeclared: boolean }
-  | { kind: 'beyond'; retryAfterMs: number; reading: QuotaReading };
+  | { kind: 'within'; /** It exceeds the declared quota. */ isBeyondDeclared: boolean }
+  | { kind: 'beyond'; retryAfterMs: number; snapshot: QuotaSnapshot };
 
 /**
- * Charges a workspace for a request, where its quota allows it.
+ * Charges a workspace for a request if its quota allows it.
  *
- * A bucket that is full admits a request larger than itself; it would never run
- * otherwise. The debt is paid back before the next one.
+ * A full bucket admits a request that is larger than the bucket, because it could never run
+ * otherwise. The bucket must recover from the debt before it admits the next request.
  */
 export function takeQuota(
-  book: QuotaBook,
+  quotas: QuotaState,
   quota: quotaLimit.QuotaLimit,
   claim: QuotaClaim,
   fleet: QuotaFleet,
   now: number,
 ): QuotaDecision {
   const { workspace, cost, urgency } = claim;
-  const bucket = getBucket(book, workspace, quota, fleet, now);
+  const bucket = getBucket(quotas, workspace, quota, fleet, now);
   bucket.askedMs.set(urgency, now);
   const needed = computeNeeded(bucket, quota, claim, fleet, now);
   if (bucket.level < needed) {
@@ -201,8 +200,8 @@
     const retryAfterMs = perMs > 0 ? (needed - bucket.level) / perMs : Infinity;
     const { level } = bucket;
     const { perSecond, burst } = quota;
-    const reading = { workspace, cost, needed, level, perSecond, burst, share };
-    return { kind: 'beyond', retryAfterMs, reading };
+    const snapshot = { workspace, cost, needed, level, perSecond, burst, share };
+    return { kind: 'beyond', retryAfterMs, snapshot };
   }
   const isBeyondDeclared = bucket.declaredLevel < 0;
   bucket.used += cost;
@@ -210,29 +209,34 @@
   return { kind: 'within', isBeyondDeclared };
 }
 
-/** Gives back what was charged for a request that was not run. */
-export function releaseQuota(book: QuotaBook, workspace: string, cost: number): void {
-  const bucket = book.buckets.get(workspace);
+/** Refunds the charge for a request that was not run. */
+export function releaseQuota(quotas: QuotaState, workspace: string, cost: number): void {
+  const bucket = quotas.buckets.get(workspace);
   if (bucket !== undefined) {
     bucket.used -= cost;
     lowerLevels(bucket, -cost);
   }
 }
 
-/** Charges a workspace with what a peer has admitted. */
-export function applyPeerUse(book: QuotaBook, workspace: string, cost: number, now: number): void {
-  const bucket = book.buckets.get(workspace);
+/** Charges a workspace with an amount that a peer has admitted. */
+export function applyPeerUse(
+  quotas: QuotaState,
+  workspace: string,
+  cost: number,
+  now: number,
+): void {
+  const bucket = quotas.buckets.get(workspace);
   if (bucket !== undefined) {
     lowerLevels(bucket, cost);
   } else if (cost > 0) {
-    const early = book.earlyUse.get(workspace) ?? { sinceMs: now, amount: 0 };
-    book.earlyUse.set(workspace, { ...early, amount: early.amount + cost });
+    const early = quotas.earlyUse.get(workspace) ?? { sinceMs: now, amount: 0 };
+    quotas.earlyUse.set(workspace, { ...early, amount: early.amount + cost });
   }
 }
 
-/** Lists what was admitted here since the start, the largest users first. */
-export function listUse(book: QuotaBook, most: number): { workspace: string; used: number }[] {
-  return [...book.buckets]
+/** Lists the amounts admitted by this gateway since its start, largest first, at most `most`. */
+export function listUse(quotas: QuotaState, most: number): { workspace: string; used: number }[] {
+  return [...quotas.buckets]
     .map(([workspace, { used }]) => ({ workspace, used }))
     .sort((a, b) => b.used - a.used)
     .slice(0, most);
--- a/packages/core/src/gateway/unservable-requests.test.ts
+++ b/packages/core/src/gateway/unservable-requests.test.ts
@@ -13,7 +13,7 @@
 const { buildArrived, buildClocks, buildRoute } = gatewayFixture;
 const DOMAINS = ['d1', 'd2'];
 
-/** Creates a gateway with a backend server in each of two domains, of a region each. */
+/** Creates a gateway with one backend server in each of two domains, which are in two regions. */
 function createState(changes: Partial<configuration.Route> = {}): gatewayState.GatewayState {
   const state = gatewayFixture.createTestGateway([], [buildRoute(changes)]);
   state.regionByDomain = new Map([
@@ -27,7 +27,7 @@
   return state;
 }
 
-/** Has failure domains evacuated, or takes them back. */
+/** Evacuates failure domains, or ends their evacuation. */
 function setEvacuated(
   state: gatewayState.GatewayState,
   domains: readonly string[],
@@ -39,8 +39,8 @@
   evacuationChanges.applyEvacuations(state.servers, changes, 0);
 }
 
-/** Takes requests in, and lists where they were sent or why they were refused. */
-function listEnds(state: gatewayState.GatewayState, count: number): string[] {
+/** Admits requests and lists where they were sent or why they were refused. */
+function listOutcomes(state: gatewayState.GatewayState, count: number): string[] {
   const refused = Array.from({ length: count }, (_, index) =>
     requestAdmission.admitRequest(
       state,
@@ -48,10 +48,10 @@
       buildClocks(1),
     ),
   ).flatMap((one) => (one.kind === 'refused' ? [one.refusal.code] : []));
-  const ends = gatewayFixture.assignWaiting(state, buildClocks(2));
+  const assignments = gatewayFixture.assignWaiting(state, buildClocks(2));
   return [
     ...refused.map((code) => schema.ResultCode[code]),
-    ...ends.map((one) => {
+    ...assignments.map((one) => {
       if (one.kind === 'refuse') {
         return schema.ResultCode[one.refusal.code];
       }
@@ -60,42 +60,42 @@
   ];
 }
 
-test('evacuated domain gets nothing new', () => {
+test('evacuated domain gets no new requests', () => {
   const state = createState();
   setEvacuated(state, ['d1'], 5);
-  assert.deepEqual(listEnds(state, 2), ['in-d2', 'in-d2']);
+  assert.deepEqual(listOutcomes(state, 2), ['in-d2', 'in-d2']);
 });
 
 test('all domains evacuated', () => {
-  // Operators have every failure domain of a service evacuated. A call that comes then is
-  // told at once that it has not run, and when to come back; left in line, it would be
-  // told so only when its time is nearly over.
+  // Operators have evacuated every failure domain of a service. A request that arrives then is
+  // refused at once as not run, with a retry delay. If it were queued, it would be refused only
+  // shortly before its deadline.
   const state = createState();
   setEvacuated(state, DOMAINS, 5);
-  const [told] = listEnds(state, 1);
-  assert.equal(told, 'DOMAINS_EVACUATED');
+  const [outcome] = listOutcomes(state, 1);
+  assert.equal(outcome, 'DOMAINS_EVACUATED');
   assert.equal(state.requests.size, 0);
   setEvacuated(state, ['d2'], 6, false);
-  assert.deepEqual(listEnds(state, 1), ['in-d2']);
+  assert.deepEqual(listOutcomes(state, 1), ['in-d2']);
 });
 
 test('all domains evacuated while requests wait', () => {
-  // Requests wait for a place, and the last failure domain is evacuated. They have not
-  // run: each is refused at once, and what runs ends where it is.
+  // The last failure domain is evacuated while requests wait for a slot. They have not run, so
+  // each is refused at once; running requests continue.
   const state = createState();
-  assert.equal(listEnds(state, 6).length, 4);
+  assert.equal(listOutcomes(state, 6).length, 4);
   assert.equal(state.requests.size, 6);
   setEvacuated(state, DOMAINS, 5);
-  assert.deepEqual(listEnds(state, 0), ['DOMAINS_EVACUATED', 'DOMAINS_EVACUATED']);
+  assert.deepEqual(listOutcomes(state, 0), ['DOMAINS_EVACUATED', 'DOMAINS_EVACUATED']);
   assert.equal(state.requests.size, 4);
 });
 
-test('route that is bound to a region', () => {
+test('route that is restricted to a region', () => {
   const state = createState({ regions: ['r2'] });
-  assert.deepEqual(listEnds(state, 2), ['in-d2', 'in-d2']);
+  assert.deepEqual(listOutcomes(state, 2), ['in-d2', 'in-d2']);
 });
 
-/** Binds the workspace of all calls to the second region, and the route to some. */
+/** Restricts the workspace to the second region, and the route to the given regions. */
 function applyRegions(state: gatewayState.GatewayState, routeRegions: string[]): void {
   const names = { name: 'w1', credentials: [gatewayFixture.KEY] };
   const workspace = { ...names, urgency: undefined, quota: undefined, regions: ['r2'] };
@@ -104,33 +104,33 @@
   state.index = configurationIndex.buildConfigurationIndex(given);
 }
 
-test('workspace that is bound to a region', () => {
+test('workspace that is restricted to a region', () => {
   const state = createState();
   applyRegions(state, []);
-  assert.deepEqual(listEnds(state, 2), ['in-d2', 'in-d2']);
+  assert.deepEqual(listOutcomes(state, 2), ['in-d2', 'in-d2']);
 });
 
-test('route and workspace that are bound to different regions', () => {
-  // The route is bound to one region and the workspace to another one: no backend server
-  // may take the request, and its caller is told so at once.
+test('route and workspace that are restricted to different regions', () => {
+  // No backend server is in both the region of the route and that of the workspace, so the
+  // request is refused at once.
   const state = createState();
   applyRegions(state, ['r1']);
-  assert.deepEqual(listEnds(state, 1), ['NO_BACKEND_SERVER']);
+  assert.deepEqual(listOutcomes(state, 1), ['NO_BACKEND_SERVER']);
 });
 
 test('domain whose region is not known', () => {
-  // The settings do not say in which region a failure domain lies. A request that is
-  // bound to a region may not go there.
+  // The settings assign no region to a failure domain. A request that is restricted to a region
+  // may not be sent there.
   const state = createState({ regions: ['r1'] });
   state.regionByDomain = new Map([['d2', 'r2']]);
-  assert.deepEqual(listEnds(state, 1), ['NO_BACKEND_SERVER']);
+  assert.deepEqual(listOutcomes(state, 1), ['NO_BACKEND_SERVER']);
 });
 
-test('bound to a region while it waits', () => {
-  // A request waits for a place. A new configuration binds its route to another region
-  // before a place in the first one is granted: it is not used.
+test('route restricted to a region while a request waits', () => {
+  // A request waits for a slot. A new configuration restricts its route to another region before
+  // a slot in the first region is granted; that grant is not used.
   const state = createState();
-  assert.equal(listEnds(state, 5).length, 4);
+  assert.equal(listOutcomes(state, 5).length, 4);
   const next = gatewayFixture.buildConfiguration(2, [buildRoute({ regions: ['r2'] })]);
   state.index = configurationIndex.buildConfigurationIndex(next);
   gatewayFixture.setInFlight(state, 'in-d1', 1);
--- a/packages/core/src/gateway/unservable-requests.ts
+++ b/packages/core/src/gateway/unservable-requests.ts
@@ -1,9 +1,9 @@
 /**
- * Requests that no backend server may take at present, whatever is free.
+ * Refuses requests that no backend server may take at present, even if it has free slots.
  *
- * Load pattern: all failure domains of a service are evacuated while its callers wait.
- * Left in line, each would be refused only when its time is nearly over; told at once that
- * it has not run, its caller may turn elsewhere.
+ * This happens, for instance, when all failure domains of a service are evacuated while requests
+ * wait. If such requests stayed queued, they would be refused only shortly before their deadline.
+ * A caller that learns at once that its request has not run can send it elsewhere.
  */
 import * as schema from '@toucanproxy/schema';
 import * as overloads from '../shared/overload.js';
@@ -18,16 +18,16 @@
 import * as serverStatements from './server-statements.js';
 
 /**
- * Advice to a caller whose service is evacuated, milliseconds: operators take it back by
- * hand, and a call each second finds it soon enough.
+ * Retry delay for callers of an evacuated service, milliseconds. Operators end an evacuation by
+ * hand, so one retry each second notices it soon enough.
  */
 const EVACUATED_RETRY_AFTER_MS = 1000;
 
 /**
- * Refuses a request whose caller leaves before any backend server takes something from this
- * gateway again; undefined where one does in time.
+ * Returns a refusal if the caller of a request is expected to disconnect before any backend
+ * server accepts requests from this gateway again, and undefined otherwise.
  *
- * @param backoffLefts how much longer each of them takes nothing, milliseconds
+ * @param backoffLefts remaining backoff of each backend server, milliseconds
  */
 function findBackoffRefusal(
   state: gatewayState.GatewayState,
@@ -39,13 +39,13 @@
   if (backoffLefts.length === 0 || now + firstMs < leaveMs) {
     return undefined;
   }
-  const { overload } = gatewayState.getServiceWork(state, service);
+  const { overload } = gatewayState.getServiceState(state, service);
   overloads.noteRefusal(overload, now);
   const adviceMs = overloads.drawRetryAfter(overload, firstMs, state.drawRandom, now);
   return refusal.buildRefusal(schema.ResultCode.NO_BACKEND_SERVER, adviceMs);
 }
 
-/** Finds why no backend server may take a request; undefined where one may. */
+/** Returns a refusal if no backend server may take a request, and undefined otherwise. */
 export function findUnservableRefusal(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
@@ -60,23 +60,28 @@
   if (regions === undefined && !serverStatements.hasBackoffs(statements, now)) {
     return undefined;
   }
-  const inside = backendServers
+  const allowed = backendServers
     .listUsable(state.servers, service, now)
     .filter(({ failureDomain }) => allowedDomains.isInRegions(state, regions, failureDomain));
-  if (inside.length === 0 && regions !== undefined) {
+  if (allowed.length === 0 && regions !== undefined) {
     return refusal.buildRefusal(schema.ResultCode.NO_BACKEND_SERVER, EVACUATED_RETRY_AFTER_MS);
   }
-  const lefts = inside.map((entry) => serverStatements.computeBackoffLeft(statements, entry, now));
-  return findBackoffRefusal(state, request, lefts, now);
+  const backoffLefts = allowed.map((entry) =>
+    serverStatements.computeBackoffLeft(statements, entry, now),
+  );
+  return findBackoffRefusal(state, request, backoffLefts, now);
 }
 
-/** A request that was refused, and what its caller is told. */
+/** A refused request and the refusal for its caller. */
 export type UnservableRequest = {
   request: gatewayRequest.GatewayRequest;
   refusal: refusal.Refusal;
 };
 
-/** Refuses the waiting requests that no backend server may take any more. */
+/**
+ * Refuses the waiting requests that no backend server may take any more. Does nothing if the known
+ * backend servers have not changed since the last check.
+ */
 export function refuseUnservable(
   state: gatewayState.GatewayState,
   now: number,
@@ -87,11 +92,11 @@
   state.checkedRevision = state.servers.revision;
   return [...state.requests.values()].flatMap((request) => {
     const isWaiting = request.phase === gatewayRequest.RequestPhase.WAITING;
-    const stranding = isWaiting ? findUnservableRefusal(state, request, now) : undefined;
-    if (stranding === undefined) {
+    const unservableRefusal = isWaiting ? findUnservableRefusal(state, request, now) : undefined;
+    if (unservableRefusal === undefined) {
       return [];
     }
     pendingAsks.withdrawAsk(state, request);
-    return [{ request, refusal: requestEnd.refuseWaiting(state, request, stranding) }];
+    return [{ request, refusal: requestEnd.refuseWaiting(state, request, unservableRefusal) }];
   });
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,8 +1,8 @@
 /**
- * The decisions of toucanproxy, without sockets, timers or clocks.
+ * The decision logic of toucanproxy, without sockets, timers or clocks.
  *
- * `handleEntryEvent` and `handleAgentEvent` apply one event to a state and
- * return the effects that the caller has to carry out.
+ * `handleEntryEvent` and `handleAgentEvent` apply one event to a state and return the effects
+ * that the caller has to execute.
  */
 export * from './agent/index.js';
 export * from './entry/index.js';
--- a/packages/core/src/mocks/small-fleet-calls.ts
+++ b/packages/core/src/mocks/small-fleet-calls.ts
@@ -1,10 +1,10 @@
-/** Calls to a small fleet, and what their callers were told. */
+/** Sends requests to a small fleet and reports their outcomes. */
 import * as schema from '@toucanproxy/schema';
 import type * as core from '../index.js';
 import * as links from './small-fleet-links.js';
 import * as state from './small-fleet-state.js';
 
-/** Sends a call with a key to an entry. */
+/** Sends a request with an idempotency key to an entry. */
 export function sendCall(
   fleet: state.SmallFleet,
   entryId: string,
@@ -30,7 +30,7 @@
   links.deliverMessages(fleet);
 }
 
-/** Lets the engine of a dispatched attempt answer whole. */
+/** Completes the response of a dispatched attempt; its one byte is the index of the attempt. */
 export function completeRun(fleet: state.SmallFleet, index: number): void {
   const { agentId, refKey } = fleet.dispatched[index];
   const head = { kind: 'engineHead', refKey, status: 200, contentType: 'text/plain' } as const;
@@ -40,16 +40,16 @@
   links.deliverMessages(fleet);
 }
 
-/** Builds a UUID of version 7 that was issued at a time. */
+/** Builds a version 7 UUID that was issued at the given time. */
 export function buildKey(issuedMs: number, serial = 1): string {
   const time = issuedMs.toString(16).padStart(12, '0');
   const tail = serial.toString(16).padStart(12, '0');
   return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${tail}`;
 }
 
-/** Formats what a caller was told: "answer" with its bytes, a failure, or "" while nothing is final. */
+/** Formats the outcome for a caller: "answer" and its bytes, a failure, or "" if it is pending. */
 export function formatOutcome(fleet: state.SmallFleet, callerId: number): string {
-  const effects = fleet.told.get(callerId) ?? [];
+  const effects = fleet.responses.get(callerId) ?? [];
   const failure = effects.find((effect) => effect.kind === 'answerFailure');
   if (failure?.kind === 'answerFailure') {
     return `${schema.ResultCode[failure.code]} ${schema.RunState[failure.runState]}`;
--- a/packages/core/src/mocks/small-fleet-links.ts
+++ b/packages/core/src/mocks/small-fleet-links.ts
@@ -1,4 +1,4 @@
-/** Passes events, messages and time through a small fleet. */
+/** Applies events to the processes of a small fleet, delivers messages and advances time. */
 import type * as schema from '@toucanproxy/schema';
 import * as core from '../index.js';
 import * as state from './small-fleet-state.js';
@@ -31,12 +31,12 @@
   }
 }
 
-/** Numbers the link of an entry: one for each entry and agent. */
+/** Returns the link number that agents use for an entry. */
 function findLinkId(fleet: state.SmallFleet, entryId: string): number {
   return [...fleet.entries.keys()].indexOf(entryId);
 }
 
-/** Carries out what an entry asks for. */
+/** Executes an effect of an entry. */
 function executeEntryEffect(
   fleet: state.SmallFleet,
   entryId: string,
@@ -70,7 +70,10 @@
     case 'answerData':
     case 'answerEnd':
     case 'answerFailure':
-      fleet.told.set(effect.callerId, [...(fleet.told.get(effect.callerId) ?? []), effect]);
+      fleet.responses.set(effect.callerId, [
+        ...(fleet.responses.get(effect.callerId) ?? []),
+        effect,
+      ]);
       return;
     case 'documentReceived':
       fleet.fetched.push(entryId);
@@ -91,7 +94,7 @@
   }
 }
 
-/** Carries out what an agent asks for. */
+/** Executes an effect of an agent. */
 function executeAgentEffect(
   fleet: state.SmallFleet,
   agentId: string,
@@ -115,7 +118,7 @@
 }
 
 /** Delivers one message. */
-function passMessage(fleet: state.SmallFleet, message: state.Message): void {
+function deliverMessage(fleet: state.SmallFleet, message: state.Message): void {
   const { entryId, agentId, body } = message;
   if (message.toAgent) {
     const linkId = findLinkId(fleet, entryId);
@@ -131,32 +134,32 @@
   applyToEntry(fleet, entryId, event);
 }
 
-/** Delivers messages until none is left but those held back. */
+/** Delivers queued messages, except those that are held back, until the queue is empty. */
 export function deliverMessages(fleet: state.SmallFleet): void {
   let message = fleet.queue.shift();
   while (message !== undefined) {
     if (fleet.isHeld(message)) {
       fleet.held.push(message);
     } else if (!fleet.isPartitioned) {
-      passMessage(fleet, message);
+      deliverMessage(fleet, message);
     }
     message = fleet.queue.shift();
   }
 }
 
-/** Holds back messages to or from an entry whose body is of one kind. */
+/** Holds back messages of one kind to or from an entry. */
 export function holdMessages(fleet: state.SmallFleet, entryId: string, kind: string): void {
   fleet.isHeld = (message) => message.entryId === entryId && message.body.body.case === kind;
 }
 
-/** Delivers what was held back. */
+/** Stops holding messages back and delivers those that were. */
 export function releaseHeld(fleet: state.SmallFleet): void {
   fleet.isHeld = () => false;
   fleet.queue.push(...fleet.held.splice(0));
   deliverMessages(fleet);
 }
 
-/** Lets time pass in steps with a tick of every process at each. */
+/** Advances time in steps and ticks every process at each step. */
 export function advanceTime(fleet: state.SmallFleet, ms: number, stepMs = 100): void {
   const end = fleet.now + ms;
   while (fleet.now < end) {
--- a/packages/core/src/mocks/small-fleet-state.ts
+++ b/packages/core/src/mocks/small-fleet-state.ts
@@ -1,10 +1,10 @@
-/** What a small fleet holds, and the documents that it runs. */
+/** The state of a small fleet and the documents that it runs. */
 import * as schema from '@toucanproxy/schema';
 import * as core from '../index.js';
 
 export const SERVICE = 'ledgerhat';
 export const WORKSPACE = 'brim';
-/** Present time at which a fleet starts, milliseconds. */
+/** Virtual time at which a fleet starts, milliseconds since the Unix epoch. */
 export const START_MS = 1_800_000_000_000;
 
 export type Message = {
@@ -19,25 +19,25 @@
   entries: Map<string, core.EntryState>;
   agents: Map<string, core.AgentState>;
   queue: Message[];
-  /** Messages that a test keeps from arriving. */
+  /** Messages that a test holds back. */
   held: Message[];
   isHeld: (message: Message) => boolean;
-  /** Nothing passes between processes, and no end of a link learns of it. */
+  /** The network is down: messages are lost, and neither end of a link notices. */
   isPartitioned: boolean;
-  /** Attempts handed to engines, in order. */
+  /** Attempts that agents started on engines, in order. */
   dispatched: { agentId: string; refKey: string }[];
-  /** What callers were told, by caller. */
-  told: Map<number, core.EntryEffect[]>;
+  /** Responses to callers, by caller id. */
+  responses: Map<number, core.EntryEffect[]>;
   dropped: core.DropReason[];
-  /** Requests whose places entries gave back, in order. */
+  /** Requests whose reservations entries released, in order. */
   released: string[];
-  /** Events of log lines, in order. */
+  /** Event names of log lines, in order. */
   logged: string[];
-  /** Processes that were sent a document by a peer, in order. */
+  /** Processes that received a document from a peer, in order. */
   fetched: string[];
 };
 
-/** Builds a document with one backend server for each agent named. */
+/** Builds a document with one backend server for each agent. */
 export function buildDocument(
   agentIds: readonly string[],
   fields: Partial<schema.ServiceDocument> = {},
@@ -59,7 +59,7 @@
   return { document, json };
 }
 
-/** Reads the text of a document that a peer has sent. */
+/** Parses a document in JSON that a peer has sent. */
 export function parseStored(json: string): core.StoredDocument {
   return { document: schema.fromJson(schema.ServiceDocumentSchema, JSON.parse(json)), json };
 }
--- a/packages/core/src/mocks/small-fleet.ts
+++ b/packages/core/src/mocks/small-fleet.ts
@@ -1,4 +1,4 @@
-/** Joins real entry and agent cores by queues that a test can hold back. */
+/** Connects real entry and agent cores through a message queue that tests can hold back. */
 import * as core from '../index.js';
 import * as links from './small-fleet-links.js';
 import * as state from './small-fleet-state.js';
@@ -9,7 +9,7 @@
 
 const WARM_UP_MS = 10_000;
 
-/** Starts a life of an agent. */
+/** Starts an agent process; `life` identifies its incarnation. */
 export function startAgent(fleet: state.SmallFleet, id: string, life: string): void {
   const identity = { backendServerId: id, service: state.SERVICE, life };
   fleet.agents.set(id, core.createAgentState(identity, fleet.now));
@@ -37,7 +37,7 @@
     isHeld: () => false,
     isPartitioned: false,
     dispatched: [],
-    told: new Map(),
+    responses: new Map(),
     dropped: [],
     released: [],
     logged: [],
@@ -50,7 +50,7 @@
     links.applyToEntry(fleet, entryId, { kind: 'documentRead', stored });
   });
   links.deliverMessages(fleet);
-  // Homes cannot decide on keys from before their life, plus twice the skew.
+  // A home agent cannot decide on keys issued before its start plus twice the clock skew.
   links.advanceTime(fleet, WARM_UP_MS);
   return fleet;
 }
