--- a/packages/core/src/scheduler/warm-up.ts
+++ b/packages/core/src/scheduler/warm-up.ts
@@ -52,18 +52,12 @@
 const GROWTH = 2;
 
 /** Computes how many requests may be started within the window while it warms up. */
-function computeMostWarming(
-  { maxInOneSecond }: WarmUpLimit,
-  heardShare: number,
-): number {
+function computeMostWarming({ maxInOneSecond }: WarmUpLimit, heardShare: number): number {
   return Math.floor(maxInOneSecond * Math.min(1 / SCHEDULERS, heardShare));
 }
 
 /** Computes the same for one that is taken as warm. */
-function computeMostWarm(
-  { maxInOneSecond }: WarmUpLimit,
-  startsBefore: number,
-): number {
+function computeMostWarm({ maxInOneSecond }: WarmUpLimit, startsBefore: number): number {
   return Math.max(Math.floor(maxInOneSecond), GROWTH * startsBefore);
 }
 
