--- a/packages/schema/src/check-change.ts
+++ b/packages/schema/src/check-change.ts
@@ -1,4 +1,4 @@
-/** What a new version of a service document may change. */
+/** Checks the change from the active service document to a new version. */
 import * as fault from './fault.js';
 import * as documentPb from './generated/toucanproxy/v1/document_pb.js';
 
@@ -27,9 +27,9 @@
   ),
 ];
 
-// A backend server that is left out stops being a home of its keys, while its
-// process may still hold their bindings and run requests.
-const checkVanished: ChangeCheck = (before, after) => {
+// The agent of a backend server that is left out is no longer a home agent of keys, although its
+// process may still hold their bindings and run requests. So it must be declared gone first.
+const checkRemoved: ChangeCheck = (before, after) => {
   const named = new Set(after.backendServers.map((server) => server.id));
   return before.backendServers
     .filter((server) => server.state !== GONE && !named.has(server.id))
@@ -40,7 +40,7 @@
     }));
 };
 
-const checkKept: ChangeCheck = (before, after) =>
+const checkServers: ChangeCheck = (before, after) =>
   after.backendServers.flatMap((server, index) => {
     const path = `$.backendServers[${index}]`;
     const old = before.backendServers.find((one) => one.id === server.id);
@@ -77,9 +77,9 @@
     ];
   });
 
-const CHANGE_CHECKS: ChangeCheck[] = [checkService, checkVersion, checkVanished, checkKept];
+const CHANGE_CHECKS: ChangeCheck[] = [checkService, checkVersion, checkRemoved, checkServers];
 
-/** Lists every fault of the step from one version of a document to the next. */
+/** Lists all faults of the change from one version of a document to the next. */
 export function checkChange(
   before: documentPb.ServiceDocument,
   after: documentPb.ServiceDocument,
--- a/packages/schema/src/check-document.ts
+++ b/packages/schema/src/check-document.ts
@@ -1,4 +1,4 @@
-/** What a service document has to hold beyond its structure; one small check each. */
+/** Checks of a service document beyond its structure and types. */
 import * as address from './address.js';
 import * as documentDefaults from './document-defaults.js';
 import * as fault from './fault.js';
@@ -12,14 +12,14 @@
 const DIGEST_PATTERN = /^[0-9a-f]{64}$/;
 const DIGEST_RULE = 'the SHA-256 of the token as 64 lower-case hexadecimal digits';
 
-/** No service may allow a larger body, bytes. */
+/** Upper bound on the `maxBodyBytes` that a document may set, bytes. */
 export const HARD_BODY_LIMIT = 64 * 1024 * 1024;
 
 const SECOND_MS = 1000;
 const MINUTE_MS = 60 * SECOND_MS;
 const DAY_MS = 24 * 60 * MINUTE_MS;
 
-/** Milliseconds; 0 stands for the default. */
+/** Allowed ranges of the timing fields, milliseconds; 0 always stands for the default. */
 const TIMING_RANGES: Ranges = {
   defaultDeadlineMs: [1, DAY_MS],
   maxDeadlineMs: [1, DAY_MS],
@@ -29,7 +29,7 @@
   heartbeatTimeoutMs: [20, 10 * MINUTE_MS],
 };
 
-/** 0 stands for the default. */
+/** Allowed ranges of the limits; 0 always stands for the default. */
 const LIMIT_RANGES: Ranges = {
   maxBodyBytes: [1, HARD_BODY_LIMIT],
   maxWaiting: [1, 1_000_000],
@@ -98,7 +98,7 @@
   ];
 };
 
-/** Describes a token's digest without showing it: it may be the token itself. */
+/** Describes a token digest without showing it, as it may be the token itself by mistake. */
 function describeDigest(value: string): string {
   return `${value.length} characters, not shown`;
 }
@@ -106,12 +106,12 @@
 const checkTokens: DocumentCheck = ({ credentials }) => {
   const digests = credentials.map((credential) => credential.tokenSha256);
   const toPath = (index: number) => `$.credentials[${index}].tokenSha256`;
-  const wrong = digests.flatMap((digest, index) =>
+  const malformed = digests.flatMap((digest, index) =>
     DIGEST_PATTERN.test(digest)
       ? []
       : [{ path: toPath(index), found: describeDigest(digest), allowed: DIGEST_RULE }],
   );
-  return [...wrong, ...fault.listRepeated(digests, toPath, describeDigest)];
+  return [...malformed, ...fault.listRepeated(digests, toPath, describeDigest)];
 };
 
 const checkCredentials: DocumentCheck = ({ credentials, workspaces, tiers }) => {
@@ -206,13 +206,13 @@
     `a version from 0 to ${version}`,
   );
 
-/** Checks that each number set is within its range. */
+/** Checks that each number that is set is within its range. */
 function checkRanges(path: string, given: object | undefined, ranges: Ranges): fault.Fault[] {
   return Object.entries(ranges).flatMap(([name, [least, most]]) => {
     const value = (given as Record<string, number> | undefined)?.[name] ?? 0;
-    const isRight = value === 0 || (value >= least && value <= most);
+    const isValid = value === 0 || (value >= least && value <= most);
     return fault.expectThat(
-      isRight,
+      isValid,
       `${path}.${name}`,
       value,
       `${least} to ${most}, 0 for the default`,
@@ -236,7 +236,7 @@
   );
 };
 
-// A timeout of two intervals or less gives a link up when a single heartbeat is late.
+// With a timeout of two intervals or less, a single late heartbeat would close a link.
 const checkHeartbeats: DocumentCheck = (document) => {
   const { heartbeatIntervalMs, heartbeatTimeoutMs } = documentDefaults.getTiming(document);
   return fault.expectThat(
@@ -247,7 +247,7 @@
   );
 };
 
-/** Every rule of a document whose structure is right. */
+/** The rules for a document. */
 export const DOCUMENT_RULES: fault.Rule<documentPb.ServiceDocument>[] = [
   { reads: ['service', 'version', 'kind'], check: checkIdentity },
   { reads: ['tiers'], check: checkTiers },
--- a/packages/schema/src/check-settings.ts
+++ b/packages/schema/src/check-settings.ts
@@ -1,4 +1,4 @@
-/** What settings have to hold beyond their structure. */
+/** Checks of settings beyond their structure and types. */
 import * as net from 'node:net';
 import * as address from './address.js';
 import * as fault from './fault.js';
@@ -9,7 +9,7 @@
 const NAME_RULE = 'up to 63 letters, digits, ".", "_" and "-", the first a letter or digit';
 const MAX_WATCH_WAIT_MS = 600_000;
 
-/** Ranges of the limits on callers; 0 stands for the default. */
+/** Allowed ranges of the limits on callers; 0 always stands for the default. */
 const CALLER_LIMIT_RANGES: Record<
   keyof settingsDefaults.EffectiveCallerLimits,
   [least: number, most: number]
@@ -23,12 +23,12 @@
   maxPipelined: [1, 1000],
 };
 
-/** Checks a name. */
+/** Checks the name of a process, service or failure domain. */
 function checkName(path: string, name: string): fault.Fault[] {
   return fault.expectThat(NAME_PATTERN.test(name), path, name, NAME_RULE);
 }
 
-/** Checks an address to listen on; where it is left out, the default stands. */
+/** Checks an address to listen on; fields that are left out have defaults. */
 function checkListen(path: string, listen: settingsPb.ListenAddress | undefined): fault.Fault[] {
   const { host = '', port = 0 } = listen ?? {};
   return [
@@ -37,7 +37,7 @@
   ];
 }
 
-/** Checks where the platform is. */
+/** Checks the URLs of the platform and the wait time of its watch calls. */
 function checkPlatform(platform: settingsPb.PlatformSettings | undefined): fault.Fault[] {
   const { configurationUrl = '', vmListUrl = '', watchWaitMs = 0 } = platform ?? {};
   return [
@@ -66,13 +66,13 @@
 function checkCallerLimits(limits: settingsPb.CallerLimits | undefined): fault.Fault[] {
   return Object.entries(CALLER_LIMIT_RANGES).flatMap(([name, [least, most]]) => {
     const value = limits?.[name as keyof settingsDefaults.EffectiveCallerLimits] ?? 0;
-    const isRight = value === 0 || (value >= least && value <= most);
+    const isValid = value === 0 || (value >= least && value <= most);
     const allowed = `${least} to ${most}, 0 for the default`;
-    return fault.expectThat(isRight, `$.callerLimits.${name}`, value, allowed);
+    return fault.expectThat(isValid, `$.callerLimits.${name}`, value, allowed);
   });
 }
 
-/** Checks the services that an entry serves. */
+/** Checks the list of services that an entry accepts requests for. */
 function checkServices(services: string[]): fault.Fault[] {
   const toPath = (index: number) => `$.services[${index}]`;
   return [
@@ -82,7 +82,7 @@
   ];
 }
 
-/** Every rule of an entry's settings whose structure is right. */
+/** The rules for the settings of an entry. */
 export const ENTRY_RULES: fault.Rule<settingsPb.EntrySettings>[] = [
   { reads: ['entryId'], check: (one) => checkName('$.entryId', one.entryId) },
   { reads: ['failureDomain'], check: (one) => checkName('$.failureDomain', one.failureDomain) },
@@ -93,7 +93,7 @@
   { reads: ['callerLimits'], check: (one) => checkCallerLimits(one.callerLimits) },
 ];
 
-/** Every rule of an agent's settings whose structure is right. */
+/** The rules for the settings of an agent. */
 export const AGENT_RULES: fault.Rule<settingsPb.AgentSettings>[] = [
   {
     reads: ['backendServerId'],
--- a/packages/schema/src/check-structure.ts
+++ b/packages/schema/src/check-structure.ts
@@ -1,43 +1,43 @@
 /**
- * Checks JSON data against the descriptor of a message: unknown fields and
- * wrong types, all at once. The library's own parser stops at the first.
+ * Checks JSON data against the descriptor of a message and reports all unknown fields and wrong
+ * types. The protobuf library's own parser stops at the first.
  */
 import * as protobuf from '@bufbuild/protobuf';
 import * as fault from './fault.js';
 
 type Descriptor = protobuf.DescMessage;
 type Field = protobuf.DescField;
-type ScalarRule = { allowed: string; isRight: (value: unknown) => boolean };
+type ScalarRule = { allowed: string; isValid: (value: unknown) => boolean };
 
 const UINT32_MAX = 2 ** 32 - 1;
 
-/** Fields whose values are never shown: a faulty one may be a token itself. */
+/** Fields whose values are never shown, as a faulty value may be the token itself. */
 const SECRET_FIELDS = new Set(['tokenSha256']);
 
 const SCALAR_RULES: Partial<Record<protobuf.ScalarType, ScalarRule>> = {
   [protobuf.ScalarType.STRING]: {
     allowed: 'a string',
-    isRight: (value) => typeof value === 'string',
+    isValid: (value) => typeof value === 'string',
   },
   [protobuf.ScalarType.BOOL]: {
     allowed: 'true or false',
-    isRight: (value) => typeof value === 'boolean',
+    isValid: (value) => typeof value === 'boolean',
   },
   [protobuf.ScalarType.DOUBLE]: {
     allowed: 'a number',
-    isRight: (value) => typeof value === 'number',
+    isValid: (value) => typeof value === 'number',
   },
   [protobuf.ScalarType.UINT32]: {
     allowed: `a whole number from 0 to ${UINT32_MAX}`,
-    isRight: (value) =>
+    isValid: (value) =>
       Number.isInteger(value) && Number(value) >= 0 && Number(value) <= UINT32_MAX,
   },
 };
 
-/** Checks one value of a scalar type. */
+/** Checks a value of a scalar type. */
 function checkScalar(field: Field, scalar: protobuf.ScalarType, value: unknown, path: string) {
   const rule = SCALAR_RULES[scalar];
-  if (rule === undefined || rule.isRight(value)) {
+  if (rule === undefined || rule.isValid(value)) {
     return [];
   }
   const found = SECRET_FIELDS.has(field.jsonName)
@@ -46,15 +46,15 @@
   return [{ path, found, allowed: rule.allowed }];
 }
 
-/** Checks one value of an enum. */
+/** Checks a value of an enum, which may be given by name or number. */
 function checkEnum(descriptor: protobuf.DescEnum, value: unknown, path: string): fault.Fault[] {
   const names = descriptor.values.map((one) => one.name);
   const numbers = descriptor.values.map((one) => one.number);
-  const isRight = names.includes(String(value)) || numbers.includes(value as number);
-  return fault.expectThat(isRight, path, value, `one of ${names.join(', ')}`);
+  const isValid = names.includes(String(value)) || numbers.includes(value as number);
+  return fault.expectThat(isValid, path, value, `one of ${names.join(', ')}`);
 }
 
-/** Checks one value that is not a list. */
+/** Checks a value that is not a list. */
 function checkSingle(field: Field, value: unknown, path: string): fault.Fault[] {
   if (field.message !== undefined) {
     return checkStructure(field.message, value, path);
@@ -75,7 +75,7 @@
     : fault.expectThat(false, path, value, 'a list');
 }
 
-/** Lists every fault of structure and type below a path. */
+/** Lists all unknown fields and wrong types in JSON data; `path` is where the data are. */
 export function checkStructure(descriptor: Descriptor, json: unknown, path = '$'): fault.Fault[] {
   if (typeof json !== 'object' || json === null || Array.isArray(json)) {
     return fault.expectThat(false, path, json, 'an object');
--- a/packages/schema/src/document-defaults.ts
+++ b/packages/schema/src/document-defaults.ts
@@ -1,10 +1,10 @@
-/** Times and limits of a document, with the defaults for those it leaves out. */
+/** Default values for the timing and limits of a service document. */
 import * as documentPb from './generated/toucanproxy/v1/document_pb.js';
 
 const SECOND_MS = 1000;
 const MINUTE_MS = 60 * SECOND_MS;
 
-/** Milliseconds throughout. */
+/** All values in milliseconds. */
 export const DEFAULT_TIMING = {
   defaultDeadlineMs: 2 * MINUTE_MS,
   maxDeadlineMs: 10 * MINUTE_MS,
@@ -28,7 +28,7 @@
 export type EffectiveTiming = typeof DEFAULT_TIMING;
 export type EffectiveLimits = typeof DEFAULT_LIMITS;
 
-/** Fills each zero or missing field from the defaults. */
+/** Replaces each field that is zero or missing by its default. */
 function applyDefaults<T extends Record<string, number>>(
   given: Partial<Record<keyof T, unknown>> | undefined,
   defaults: T,
@@ -40,12 +40,12 @@
   return Object.fromEntries(entries) as T;
 }
 
-/** Gets the timing of a document in force. */
+/** Returns the timing of a document, with defaults for what it leaves out. */
 export function getTiming(document: documentPb.ServiceDocument | undefined): EffectiveTiming {
   return applyDefaults(document?.timing, DEFAULT_TIMING);
 }
 
-/** Gets the limits of a document in force. */
+/** Returns the limits of a document, with defaults for what it leaves out. */
 export function getLimits(document: documentPb.ServiceDocument | undefined): EffectiveLimits {
   return applyDefaults(document?.limits, DEFAULT_LIMITS);
 }
--- a/packages/schema/src/fault.ts
+++ b/packages/schema/src/fault.ts
@@ -1,43 +1,45 @@
-/** Faults of settings and documents. */
+/** Faults that validation finds in settings and documents. */
 
 /** One fault: where it is, what was found, and what is allowed. */
 export type Fault = {
-  /** Place in the JSON text, such as `$.tiers[0]`. */
+  /** Path in the JSON text, such as `$.tiers[0]`. */
   path: string;
+  /** Description of the value found there. */
   found: string;
+  /** Description of the values that are allowed there. */
   allowed: string;
 };
 
 export type ParseResult<T> = { kind: 'parsed'; value: T } | { kind: 'faulty'; faults: Fault[] };
 
-/** A check of a message; all faults at once. */
+/** Lists all faults of a message that this check looks for. */
 export type Check<T> = (message: T) => Fault[];
 
-/** A check with the fields that it looks at. */
+/** A check, with the top-level fields that it reads. */
 export type Rule<T> = { reads: (keyof T & string)[]; check: Check<T> };
 
-/** What is found in place of a field that the schema does not know. */
+/** The `found` text of a fault about a field that the schema does not have. */
 export const UNKNOWN_FIELD = 'an unknown field';
 
 const MAX_SHOWN_CHARACTERS = 60;
 
-/** Describes a value that was found, shortened. */
+/** Formats a value as JSON, truncated to `MAX_SHOWN_CHARACTERS`. */
 export function describeFound(value: unknown): string {
   const text = JSON.stringify(value) ?? 'nothing';
   return text.length > MAX_SHOWN_CHARACTERS ? `${text.slice(0, MAX_SHOWN_CHARACTERS)}...` : text;
 }
 
-/** Builds a list of one fault where a value is not as it should be. */
+/** Lists one fault where a value is not valid, and none where it is. */
 export function expectThat(
-  isRight: boolean,
+  isValid: boolean,
   path: string,
   value: unknown,
   allowed: string,
 ): Fault[] {
-  return isRight ? [] : [{ path, found: describeFound(value), allowed }];
+  return isValid ? [] : [{ path, found: describeFound(value), allowed }];
 }
 
-/** Lists a fault for each value that occurs a second time. */
+/** Lists a fault for each value that has occurred before in the list. */
 export function listRepeated(
   values: readonly string[],
   toPath: (index: number) => string,
@@ -50,7 +52,7 @@
   });
 }
 
-/** Formats a fault as one line. */
+/** Formats a fault as one line of text. */
 export function formatFault(fault: Fault): string {
   return `${fault.path}: found ${fault.found}; allowed: ${fault.allowed}`;
 }
--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of toucanproxy: messages between processes, settings and
- * service documents. The code under `generated/` is made by `npm run generate`.
+ * Messages between processes, settings and service documents, with their validation and
+ * defaults. The code under `generated/` is written by `npm run generate`.
  */
 export * from './generated/toucanproxy/v1/document_pb.js';
 export * from './generated/toucanproxy/v1/link_pb.js';
--- a/packages/schema/src/parse-document.test.ts
+++ b/packages/schema/src/parse-document.test.ts
@@ -55,7 +55,7 @@
 });
 
 nodeTest.test('structure and content at once', () => {
-  // Rules that read `version` are passed over, the others are not.
+  // Rules that read `version`, which has the wrong type, are skipped; the others are applied.
   const paths = listPaths({ version: '3', colour: 'red', tiers: ['stall', 'draft', 'stall'] });
   assert.deepEqual(paths.sort(), ['$.colour', '$.tiers[2]', '$.version']);
 });
@@ -124,8 +124,8 @@
 });
 
 nodeTest.test('a token in place of its hash is not shown', () => {
-  // Someone pastes the token itself. The faults go to the log, so its text
-  // must not be in them.
+  // Somebody enters the token itself in place of its hash. Faults are written to the log, so they
+  // must not contain its text.
   const token = 'brim-stall-secret';
   const credential = { tokenSha256: token, workspace: 'brim', tier: 'stall' };
   const credentials = [credential, credential, { ...credential, tokenSha256: 12345678 }];
@@ -174,7 +174,7 @@
   return checkChange.checkChange(before.value, after.value).map((fault) => fault.path);
 }
 
-nodeTest.test('change: version, vanished server, moved history', () => {
+nodeTest.test('change: version, removed server, changed addedInVersion', () => {
   assert.deepEqual(listChangePaths({ version: 4 }), []);
   assert.deepEqual(listChangePaths({ version: 3 }), ['$.version']);
   assert.deepEqual(listChangePaths({ version: 4, backendServers: [] }), ['$.backendServers']);
--- a/packages/schema/src/parse-document.ts
+++ b/packages/schema/src/parse-document.ts
@@ -1,4 +1,4 @@
-/** Reads service documents and settings from JSON and lists all their faults. */
+/** Parses service documents and settings from JSON and lists all their faults. */
 import * as protobuf from '@bufbuild/protobuf';
 import * as checkDocument from './check-document.js';
 import * as checkSettings from './check-settings.js';
@@ -7,7 +7,7 @@
 import * as documentPb from './generated/toucanproxy/v1/document_pb.js';
 import * as settingsPb from './generated/toucanproxy/v1/settings_pb.js';
 
-/** Builds the result for text that could not be read at all. */
+/** Builds the result for text that could not be parsed at all. */
 function buildUnreadable(
   error: unknown,
   allowed: string,
@@ -16,12 +16,12 @@
   return { kind: 'faulty', faults: [{ path: '$', found, allowed }] };
 }
 
-/** Tells whether a value can be read although it has faults. */
+/** Whether a value can be converted to its type: unknown fields do not prevent that. */
 function isReadable(faults: fault.Fault[]): boolean {
   return faults.every((one) => one.found === fault.UNKNOWN_FIELD);
 }
 
-/** Lists the fields of a message whose values cannot be read. */
+/** Lists the top-level fields whose values have the wrong type. */
 function listUnreadable(descriptor: protobuf.DescMessage, data: object): Set<string> {
   const unreadable = Object.entries(data).filter(
     ([name, value]) => !isReadable(checkStructure.checkStructure(descriptor, { [name]: value })),
@@ -30,10 +30,10 @@
 }
 
 /**
- * Parses JSON data into a message and lists all its faults.
+ * Converts JSON data to a message and lists all its faults.
  *
- * Rules that read a field of the wrong type are passed over: what they said
- * would follow from that fault alone.
+ * Rules that read a field of the wrong type are skipped, because their faults would only be a
+ * consequence of that one.
  */
 function parseData<S extends protobuf.DescMessage>(
   descriptor: S,
--- a/packages/schema/src/result-status.ts
+++ b/packages/schema/src/result-status.ts
@@ -1,9 +1,9 @@
-/** HTTP statuses of results, the same for all processes that answer callers. */
+/** HTTP status of each result code, the same in all processes that answer callers. */
 import * as resultPb from './generated/toucanproxy/v1/result_pb.js';
 
 const DEFAULT_STATUS = 500;
 
-/** HTTP status for each code; docs/RESULT-CODES.md explains them. */
+/** Codes that are not listed are answered with `DEFAULT_STATUS`; see docs/RESULT-CODES.md. */
 const STATUS_BY_CODE: Partial<Record<resultPb.ResultCode, number>> = {
   [resultPb.ResultCode.COMPLETED]: 200,
   [resultPb.ResultCode.MALFORMED_REQUEST]: 400,
@@ -41,7 +41,7 @@
   [resultPb.ResultCode.DEADLINE_EXCEEDED]: 504,
 };
 
-/** Gets the HTTP status that a result is answered with. */
+/** Returns the HTTP status of the response for a result code. */
 export function getHttpStatus(code: resultPb.ResultCode): number {
   return STATUS_BY_CODE[code] ?? DEFAULT_STATUS;
 }
--- a/packages/schema/src/settings-defaults.ts
+++ b/packages/schema/src/settings-defaults.ts
@@ -1,4 +1,4 @@
-/** Settings with the defaults for what they leave out. */
+/** Default values for settings. */
 import * as protobuf from '@bufbuild/protobuf';
 import * as settingsPb from './generated/toucanproxy/v1/settings_pb.js';
 
@@ -17,7 +17,7 @@
 
 export type EffectiveCallerLimits = typeof DEFAULT_CALLER_LIMITS;
 
-/** Gets the limits on callers with their defaults. */
+/** Returns the limits on callers, with defaults for what the settings leave out. */
 export function getCallerLimits(
   limits: settingsPb.CallerLimits | undefined,
 ): EffectiveCallerLimits {
@@ -36,7 +36,7 @@
   return protobuf.create(settingsPb.ListenAddressSchema, { host: host || DEFAULT_HOST, port });
 }
 
-/** Applies defaults to what is read from the platform. */
+/** Applies defaults to the settings for reading from the platform. */
 function applyPlatformDefaults(
   platform: settingsPb.PlatformSettings | undefined,
 ): settingsPb.PlatformSettings {
