--- a/packages/cli/bin/toucanproxy.js
+++ b/packages/cli/bin/toucanproxy.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// The compiled program is not executable; this file is, and stays so.
+// tsc writes dist/main.js without execute permission, so this executable file imports it.
 import '../dist/main.js';
--- a/packages/cli/src/agent-command.ts
+++ b/packages/cli/src/agent-command.ts
@@ -12,9 +12,9 @@
   static override usage = clipanion.Command.Usage({
     description: 'run an agent beside its backend server',
     details: `
-      Is the only gate to its backend server until SIGTERM or SIGINT; a second signal stops
-      it at once. Ends with 0 after a graceful shutdown, 130 after a second signal, 4 where
-      the settings are faulty, 1 where it cannot listen.
+      Passes all requests to its backend server until SIGTERM or SIGINT; a second signal stops it
+      at once. Exits with 0 after a graceful shutdown, 130 after a second signal, 4 if the settings
+      have faults, and 1 if it cannot listen.
     `,
     examples: [['Run an agent from its settings', 'toucanproxy agent --settings runner-1.json']],
   });
--- a/packages/cli/src/app.test.ts
+++ b/packages/cli/src/app.test.ts
@@ -12,7 +12,7 @@
 const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'toucanproxy-cli-'));
 nodeTest.after(() => fs.rmSync(folder, { recursive: true }));
 
-/** Writes a file and gives its path. */
+/** Writes a file and returns its path. */
 function writeFile(name: string, content: unknown): string {
   const file = path.join(folder, name);
   fs.writeFileSync(file, typeof content === 'string' ? content : JSON.stringify(content));
@@ -57,7 +57,7 @@
   platform: { configurationUrl: 'http://10.0.0.9:8500' },
 };
 
-nodeTest.test('check: good files of each kind', async () => {
+nodeTest.test('check: valid files of each kind', async () => {
   const files = [
     writeFile('entry.json', ENTRY),
     writeFile('document.json', buildDocument(1, ['a'])),
@@ -87,7 +87,7 @@
   assert.match(text, /bad-text.json: \$: found SyntaxError; allowed: JSON/);
 });
 
-nodeTest.test('check: values in force', async () => {
+nodeTest.test('check: effective values', async () => {
   const document = writeFile('effective.json', buildDocument(1, ['a']));
   const { text } = await runProgram('check', '--effective', document);
   const shown = JSON.parse(text) as { timing: Record<string, number>; routes: object[] };
@@ -98,7 +98,7 @@
   assert.equal(settings.callerLimits.maxConnections, 10_000);
 });
 
-nodeTest.test('check: a change', async () => {
+nodeTest.test('check: change of a document', async () => {
   const old = writeFile('old.json', buildDocument(1, ['a', 'b']));
   const good = writeFile('good.json', buildDocument(2, ['a', 'b']));
   const bad = writeFile('bad.json', buildDocument(1, ['a']));
--- a/packages/cli/src/app.ts
+++ b/packages/cli/src/app.ts
@@ -1,4 +1,4 @@
-/** The commands of `toucanproxy`, registered by name. */
+/** The `toucanproxy` command line: registers the commands and runs one of them. */
 import * as clipanion from 'clipanion';
 import * as agentCommand from './agent-command.js';
 import * as checkCommand from './check-command.js';
@@ -10,7 +10,7 @@
 
 const VERSION = '0.1.0';
 
-/** Builds the command line. */
+/** Builds the command line with all its commands. */
 export function buildCli(): clipanion.Cli {
   const cli = new clipanion.Cli({
     binaryLabel: 'toucanproxy',
@@ -28,7 +28,7 @@
   return cli;
 }
 
-/** Runs the program with its arguments and gives its exit code. */
+/** Runs the command line with the given arguments and returns its exit code. */
 export async function runCli(
   args: string[],
   context: clipanion.BaseContext = clipanion.Cli.defaultContext,
--- a/packages/cli/src/check-command.ts
+++ b/packages/cli/src/check-command.ts
@@ -14,28 +14,31 @@
   static override usage = clipanion.Command.Usage({
     description: 'check settings, service documents and configurations',
     details: `
-      Lists all faults at once, each with its place, the value found and what is allowed.
-      The daemons refuse the same faults. Ends with 0 where there are none, with 4 where
-      there are, with 2 where a file cannot be read.
+      Lists all faults at once, each with its place in the file, the value found and what is
+      allowed. The daemons refuse files with the same faults. Exits with 0 if there are no faults,
+      4 if there are any, and 2 if a file cannot be read.
     `,
     examples: [
-      ['Check files, whose kind is recognised', 'toucanproxy check entry-1.json brimwit.json'],
-      ['Show the values in force, defaults included', 'toucanproxy check --effective brimwit.json'],
+      ['Check files; the kind of each is detected', 'toucanproxy check entry-1.json brimwit.json'],
+      [
+        'Show the effective values, defaults included',
+        'toucanproxy check --effective brimwit.json',
+      ],
       ['Check a change', 'toucanproxy check --after brimwit-6.json brimwit-7.json'],
     ],
   });
 
   kind = clipanion.Option.String('--kind', {
     description:
-      'document, entry, agent, gateway or configuration; recognised by content where left out',
+      'document, entry, agent, gateway or configuration; detected from the content by default',
   });
 
   effective = clipanion.Option.Boolean('--effective', false, {
-    description: 'print each file with the defaults for what it leaves out',
+    description: 'print each file with its defaults filled in',
   });
 
   after = clipanion.Option.String('--after', {
-    description: 'the document in force, which the file is to replace',
+    description: 'the active document, which the checked file is to replace',
   });
 
   files = clipanion.Option.Rest({ required: 1, name: 'FILE' });
@@ -50,7 +53,7 @@
     return [ExitCode.USAGE, ExitCode.FAULTY].find((code) => codes.includes(code)) ?? ExitCode.OK;
   }
 
-  /** Checks one file and prints the verdict. */
+  /** Checks one file and prints the result. */
   private checkFile(path: string): exitCode.ExitCode {
     const input = inputFile.readInput(path, this.kind as inputFile.FileKind | undefined);
     if (input.kind === 'unreadable') {
@@ -62,20 +65,20 @@
       return ExitCode.FAULTY;
     }
     if (this.after !== undefined) {
-      return this.checkStep(path, this.after, input);
+      return this.checkReplacement(path, this.after, input);
     }
-    this.printGood(path, input);
+    this.printValid(path, input);
     return ExitCode.OK;
   }
 
-  /** Checks the step from the document in force to a new one. */
-  private checkStep(
+  /** Checks the change from the active document to a new one. */
+  private checkReplacement(
     path: string,
     before: string,
-    after: Extract<inputFile.Input, { kind: 'good' }>,
+    after: Extract<inputFile.Input, { kind: 'valid' }>,
   ): exitCode.ExitCode {
     const old = inputFile.readInput(before, FileKind.DOCUMENT);
-    if (old.kind !== 'good' || old.fileKind !== FileKind.DOCUMENT) {
+    if (old.kind !== 'valid' || old.fileKind !== FileKind.DOCUMENT) {
       this.context.stderr.write(`${before}: --after needs a document without faults\n`);
       return ExitCode.USAGE;
     }
@@ -88,12 +91,12 @@
       this.context.stdout.write(inputFile.formatFaults(path, FileKind.DOCUMENT, faults));
       return ExitCode.FAULTY;
     }
-    this.printGood(path, after);
+    this.printValid(path, after);
     return ExitCode.OK;
   }
 
-  /** Prints that a file has no fault, or its values in force. */
-  private printGood(path: string, input: Extract<inputFile.Input, { kind: 'good' }>): void {
+  /** Prints that a file has no faults, or its effective values. */
+  private printValid(path: string, input: Extract<inputFile.Input, { kind: 'valid' }>): void {
     const text = this.effective
       ? effectiveValues.formatEffective(input)
       : `${path}: ${input.fileKind} without faults`;
--- a/packages/cli/src/daemon-command.ts
+++ b/packages/cli/src/daemon-command.ts
@@ -1,4 +1,4 @@
-/** What the commands that run a daemon share. */
+/** Reads the settings for the commands that run a daemon. */
 import * as fs from 'node:fs';
 import * as clipanion from 'clipanion';
 import * as schema from '@toucanproxy/schema';
@@ -8,7 +8,7 @@
 export type SettingsRead<T> =
   { kind: 'read'; settings: T } | { kind: 'refused'; exitCode: exitCode.ExitCode };
 
-/** Reads settings; prints their faults where there are any. */
+/** Reads a settings file; prints its faults and returns an exit code if it has any. */
 export function readSettings<T>(
   context: clipanion.BaseContext,
   path: string,
--- a/packages/cli/src/effective-values.ts
+++ b/packages/cli/src/effective-values.ts
@@ -1,11 +1,11 @@
-/** Settings and documents with every default filled in. */
+/** Formats settings and documents with all defaults filled in. */
 import * as schema from '@toucanproxy/schema';
 import * as inputFile from './input-file.js';
 
 const INDENT = 2;
 const WITH_DEFAULTS = { alwaysEmitImplicit: true };
 
-/** Gets a document with the times and limits in force. */
+/** Fills in the defaults of a document. */
 function applyDocumentDefaults(document: schema.ServiceDocument): schema.ServiceDocument {
   return schema.create(schema.ServiceDocumentSchema, {
     ...document,
@@ -28,8 +28,8 @@
   });
 }
 
-/** Builds JSON data with the values in force. */
-function buildEffective(input: Extract<inputFile.Input, { kind: 'good' }>): unknown {
+/** Builds JSON data with the effective values of a file. */
+function buildEffective(input: Extract<inputFile.Input, { kind: 'valid' }>): unknown {
   switch (input.fileKind) {
     case inputFile.FileKind.ENTRY: {
       const settings = schema.applyEntryDefaults(input.value);
@@ -49,7 +49,7 @@
   }
 }
 
-/** Formats a file without faults with every default filled in. */
-export function formatEffective(input: Extract<inputFile.Input, { kind: 'good' }>): string {
+/** Formats a valid file as JSON with all defaults filled in. */
+export function formatEffective(input: Extract<inputFile.Input, { kind: 'valid' }>): string {
   return JSON.stringify(buildEffective(input), undefined, INDENT);
 }
--- a/packages/cli/src/entry-command.ts
+++ b/packages/cli/src/entry-command.ts
@@ -12,9 +12,9 @@
   static override usage = clipanion.Command.Usage({
     description: 'run an entry',
     details: `
-      Takes requests from callers until SIGTERM or SIGINT; a second signal stops it at once.
-      Ends with 0 after a graceful shutdown, 130 after a second signal, 4 where the settings
-      are faulty, 1 where it cannot listen.
+      Accepts requests from callers until SIGTERM or SIGINT; a second signal stops it at once.
+      Exits with 0 after a graceful shutdown, 130 after a second signal, 4 if the settings have
+      faults, and 1 if it cannot listen.
     `,
     examples: [['Run an entry from its settings', 'toucanproxy entry --settings entry-1.json']],
   });
--- a/packages/cli/src/explain-command.ts
+++ b/packages/cli/src/explain-command.ts
@@ -1,4 +1,4 @@
-/** The command that shows what was decided for one request. */
+/** The command that prints the log lines of one request. */
 import * as fs from 'node:fs';
 import * as clipanion from 'clipanion';
 import * as exitCode from './exit-code.js';
@@ -13,13 +13,13 @@
   static override usage = clipanion.Command.Usage({
     description: "show one request's decisions from the logs",
     details: `
-      Reads the logs of all processes given and prints the lines of one request in order of
-      time. The request id stands in the x-request-id header of the answer and in the body of
-      a failure. Ends with 3 where no line names the request.
+      Reads log files and prints the lines about one request, ordered by time. The request id is
+      in the x-request-id header of the response and in the body of an error response. Exits
+      with 3 if no line mentions the request.
     `,
     examples: [
-      ['Search some logs', 'toucanproxy explain entry-1-5f3a-17 entry-1.log runner-*.log'],
-      ['Search what comes on standard input', 'toucanproxy explain entry-1-5f3a-17 -'],
+      ['Search several logs', 'toucanproxy explain entry-1-5f3a-17 entry-1.log runner-*.log'],
+      ['Search standard input', 'toucanproxy explain entry-1-5f3a-17 -'],
     ],
   });
 
@@ -42,7 +42,7 @@
     const lines = requestLines.findRequestLines(texts, this.requestId);
     lines.forEach((line) => this.context.stdout.write(`${requestLines.formatLine(line)}\n`));
     if (lines.length === 0) {
-      this.context.stderr.write(`no line names ${this.requestId}\n`);
+      this.context.stderr.write(`no log line mentions ${this.requestId}\n`);
       return exitCode.ExitCode.UNREACHABLE;
     }
     return exitCode.ExitCode.OK;
--- a/packages/cli/src/gateway-command.ts
+++ b/packages/cli/src/gateway-command.ts
@@ -1,4 +1,4 @@
-/** The command that runs a gateway on the users' platform. */
+/** The command that runs a gateway on the platform. */
 import * as clipanion from 'clipanion';
 import * as platform from '@toucanproxy/platform';
 import * as daemonCommand from './daemon-command.js';
@@ -11,9 +11,9 @@
   static override usage = clipanion.Command.Usage({
     description: 'run a gateway',
     details: `
-      An entry that sends to backend servers itself, without agents, from the settings that the
-      platform gives. Ends like the entry: with 0 after a graceful shutdown, 130 after a second
-      signal, 4 where the settings are faulty, 1 where it cannot listen.
+      Accepts requests like an entry, but sends them to backend servers directly, without agents.
+      Reads the platform's settings file. Exits with 0 after a graceful shutdown, 130 after a
+      second signal, 4 if the settings have faults, and 1 if it cannot listen.
     `,
     examples: [['Run a gateway', 'toucanproxy gateway --settings node.json']],
   });
--- a/packages/cli/src/input-file.ts
+++ b/packages/cli/src/input-file.ts
@@ -1,4 +1,4 @@
-/** Reads settings and documents from files and recognises what they are. */
+/** Reads and parses settings, documents and configurations, and detects which kind a file is. */
 import * as fs from 'node:fs';
 import type * as coreGateway from '@toucanproxy/core/gateway';
 import type * as gateway from '@toucanproxy/gateway';
@@ -9,9 +9,9 @@
   DOCUMENT = 'document',
   ENTRY = 'entry',
   AGENT = 'agent',
-  /** Settings of a gateway, in the platform's form. */
+  /** Settings of a gateway, in the platform's format. */
   GATEWAY = 'gateway',
-  /** What the platform's store holds for gateways. */
+  /** Configuration of gateways, as the platform's store holds it. */
   CONFIGURATION = 'configuration',
 }
 
@@ -26,10 +26,10 @@
 export type Input =
   | { kind: 'unreadable'; reason: string }
   | { kind: 'faulty'; fileKind: FileKind; faults: schema.Fault[] }
-  | { [K in FileKind]: { kind: 'good'; fileKind: K; value: Values[K] } }[FileKind];
+  | { [K in FileKind]: { kind: 'valid'; fileKind: K; value: Values[K] } }[FileKind];
 
-/** Recognises a file by a field that only its kind has. */
-function pickKind(text: string): FileKind {
+/** Detects the kind of a file by a field that only this kind has. */
+function detectKind(text: string): FileKind {
   try {
     const data = JSON.parse(text) as Record<string, unknown>;
     if ('entryId' in data) {
@@ -47,14 +47,14 @@
   }
 }
 
-/** Builds what was read. */
+/** Converts a parse result to an input. */
 function toInput<K extends FileKind>(fileKind: K, parsed: schema.Parsed<Values[K]>): Input {
   return parsed.kind === 'faulty'
     ? { kind: 'faulty', fileKind, faults: parsed.faults }
-    : ({ kind: 'good', fileKind, value: parsed.value } as Input);
+    : ({ kind: 'valid', fileKind, value: parsed.value } as Input);
 }
 
-/** Parses the text of one kind. */
+/** Parses text as a file of the given kind. */
 function parseAs(fileKind: FileKind, text: string): Input {
   switch (fileKind) {
     case FileKind.ENTRY:
@@ -70,21 +70,21 @@
   }
 }
 
-/** Reads one file; its kind is recognised where none is given. */
+/** Reads one file; its kind is detected if none is given. */
 export function readInput(path: string, fileKind?: FileKind): Input {
   try {
     const text = fs.readFileSync(path, 'utf8');
-    return parseAs(fileKind ?? pickKind(text), text);
+    return parseAs(fileKind ?? detectKind(text), text);
   } catch (error) {
     return { kind: 'unreadable', reason: (error as NodeJS.ErrnoException).code ?? 'unreadable' };
   }
 }
 
-/** Formats the faults of a file with the result code, a line each. */
+/** Formats the result code of a faulty file and its faults, one per line. */
 export function formatFaults(path: string, fileKind: FileKind, faults: schema.Fault[]): string {
   const { DOCUMENT_FAULT, SETTINGS_FAULT } = schema.ResultCode;
-  const isDeclared = fileKind === FileKind.DOCUMENT || fileKind === FileKind.CONFIGURATION;
-  const code = isDeclared ? DOCUMENT_FAULT : SETTINGS_FAULT;
+  const isDocument = fileKind === FileKind.DOCUMENT || fileKind === FileKind.CONFIGURATION;
+  const code = isDocument ? DOCUMENT_FAULT : SETTINGS_FAULT;
   const head = `${path}: result ${code} ${schema.ResultCode[code]}, ${faults.length} faults`;
   const lines = faults.map((fault) => `${path}: ${schema.formatFault(fault)}`);
   return `${[head, ...lines].join('\n')}\n`;
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The one program: `toucanproxy`. */
+/** Entry point of the `toucanproxy` program. */
 import * as app from './app.js';
 
 process.exitCode = await app.runCli(process.argv.slice(2));
--- a/packages/cli/src/request-lines.ts
+++ b/packages/cli/src/request-lines.ts
@@ -2,13 +2,13 @@
 
 export type LogLine = Record<string, unknown> & { time: string; event: string };
 
-/** Fields of bunyan itself, and those that stand at the front of a line. */
+/** Fields that bunyan adds, and fields that are printed at the start of a line. */
 const HIDDEN_FIELDS = new Set([
   ...['name', 'hostname', 'pid', 'level', 'v', 'msg'],
   ...['time', 'event', 'entry', 'agent', 'gateway', 'life', 'request'],
 ]);
 
-/** Parses one line; undefined where it is no log line. */
+/** Parses one line; undefined if it is not a log line. */
 function parseLine(text: string): LogLine | undefined {
   try {
     const line = JSON.parse(text) as LogLine;
@@ -18,13 +18,13 @@
   }
 }
 
-/** Tells whether a line is about a request or one of its attempts. */
+/** Whether a line is about a request or one of its attempts. */
 function isAbout(line: LogLine, requestId: string): boolean {
   const request = String(line.request ?? '');
   return request === requestId || request.startsWith(`${requestId}#`);
 }
 
-/** Finds the lines of a request in some logs, ordered by time. */
+/** Finds the lines about a request in the given logs, ordered by time. */
 export function findRequestLines(texts: readonly string[], requestId: string): LogLine[] {
   return texts
     .flatMap((text) => text.split('\n'))
@@ -33,7 +33,7 @@
     .sort((a, b) => Date.parse(a.time) - Date.parse(b.time));
 }
 
-/** Formats a line: time, process, event, then what was considered and taken. */
+/** Formats a line: time, process, event, then the other fields. */
 export function formatLine(line: LogLine): string {
   const fields = Object.entries(line)
     .filter(([name]) => !HIDDEN_FIELDS.has(name))
--- a/packages/cli/src/run-daemon.ts
+++ b/packages/cli/src/run-daemon.ts
@@ -1,10 +1,13 @@
-/** Runs a daemon until it is told to stop. */
+/** Runs a daemon until a signal stops it. */
 import * as exitCode from './exit-code.js';
 
 type Daemon = { shutDown: () => void; stop: () => void };
 type StartDaemon<Settings> = (settings: Settings, stopped: () => void) => Promise<Daemon>;
 
-/** Runs a daemon; the first SIGTERM or SIGINT is graceful, a second immediate. */
+/**
+ * Runs a daemon. The first SIGTERM or SIGINT shuts it down gracefully; a second one, or one that
+ * comes before the daemon has started, stops it immediately.
+ */
 export async function runDaemon<Settings>(
   settings: Settings,
   startDaemon: StartDaemon<Settings>,
--- a/packages/cli/src/status-command.ts
+++ b/packages/cli/src/status-command.ts
@@ -1,17 +1,17 @@
-/** The command that asks processes for their state. */
+/** The command that prints the status of running processes. */
 import * as clipanion from 'clipanion';
 import * as undici from 'undici';
 import * as exitCode from './exit-code.js';
 import * as statusTable from './status-table.js';
 
-const ANSWER_MS = 5000;
+const TIMEOUT_MS = 5000;
 
-type Answer = { address: string; status: unknown } | { address: string; failure: string };
+type StatusResult = { address: string; status: unknown } | { address: string; failure: string };
 
-/** Asks one process. */
-async function fetchStatus(address: string): Promise<Answer> {
+/** Fetches the status of one process. */
+async function fetchStatus(address: string): Promise<StatusResult> {
   try {
-    const signal = AbortSignal.timeout(ANSWER_MS);
+    const signal = AbortSignal.timeout(TIMEOUT_MS);
     const response = await undici.request(`http://${address}/status`, { signal });
     return { address, status: await response.body.json() };
   } catch (error) {
@@ -26,36 +26,38 @@
   static override usage = clipanion.Command.Usage({
     description: 'show the state of running processes',
     details: `
-      Asks each operator address for the backend servers it knows (live, leaving, silent),
-      its queues by tier and the document version in force. Ends with 3 where a process
-      does not answer.
+      Fetches from each operator address its backend servers and their states (such as live,
+      leaving or silent), its queues by tier, and which document version is active. Exits with 3
+      if a process does not respond.
     `,
     examples: [
-      ['Two processes as tables', 'toucanproxy status 10.0.0.1:7403 10.0.0.7:7403'],
-      ['As JSON', 'toucanproxy status --json 10.0.0.1:7403'],
+      ['Show two processes as tables', 'toucanproxy status 10.0.0.1:7403 10.0.0.7:7403'],
+      ['Print JSON', 'toucanproxy status --json 10.0.0.1:7403'],
     ],
   });
 
-  json = clipanion.Option.Boolean('--json', false, { description: 'print JSON, a line each' });
+  json = clipanion.Option.Boolean('--json', false, {
+    description: 'print one line of JSON per process',
+  });
 
   addresses = clipanion.Option.Rest({ required: 1, name: 'ADDRESS' });
 
   async execute(): Promise<number> {
-    const answers = await Promise.all(this.addresses.map(fetchStatus));
-    answers.forEach((answer) => {
-      const text = this.json ? JSON.stringify(answer) : formatAnswer(answer);
+    const results = await Promise.all(this.addresses.map(fetchStatus));
+    results.forEach((result) => {
+      const text = this.json ? JSON.stringify(result) : formatResult(result);
       this.context.stdout.write(`${text}\n`);
     });
-    const failed = answers.some((answer) => 'failure' in answer);
+    const failed = results.some((result) => 'failure' in result);
     return failed ? exitCode.ExitCode.UNREACHABLE : exitCode.ExitCode.OK;
   }
 }
 
-/** Formats the answer of one process as tables. */
-function formatAnswer(answer: Answer): string {
+/** Formats the status of one process as tables, or why there is none. */
+function formatResult(result: StatusResult): string {
   const body =
-    'failure' in answer
-      ? `no answer: ${answer.failure}`
-      : statusTable.formatStatus(answer.status as Record<string, unknown>);
-  return `== ${answer.address}\n${body}\n`;
+    'failure' in result
+      ? `no response: ${result.failure}`
+      : statusTable.formatStatus(result.status as Record<string, unknown>);
+  return `== ${result.address}\n${body}\n`;
 }
--- a/packages/cli/src/status-table.ts
+++ b/packages/cli/src/status-table.ts
@@ -1,4 +1,4 @@
-/** Formats a status as text: single values a line each, lists as tables. */
+/** Formats a status as text: one line for each single value, a table for each list. */
 
 type Row = Record<string, unknown>;
 
@@ -13,12 +13,12 @@
   return parts.length === 0 ? '-' : parts.join(' ');
 }
 
-/** Tells whether a value is a list of records. */
+/** Whether a value is a non-empty list of objects. */
 function isTable(value: unknown): value is Row[] {
   return Array.isArray(value) && value.length > 0 && typeof value[0] === 'object';
 }
 
-/** Formats records as a table with a head. */
+/** Formats a list of objects as a table with a header row. */
 function formatTable(name: string, rows: Row[]): string[] {
   const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))];
   const cells = [columns, ...rows.map((row) => columns.map((key) => formatValue(row[key] ?? '-')))];
