--- a/packages/core/src/entry/entry-policy.ts
+++ b/packages/core/src/entry/entry-policy.ts
@@ -23,7 +23,7 @@
 }
 
 /** Creates the policy that pushes to the better of two by reported load. */
-export function createBetterOfTwoPolicy(drawRandom: () => number): EntryPolicy {
+export function createPowerOfTwoChoicesPolicy(drawRandom: () => number): EntryPolicy {
   return { way: { kind: 'push', choose: placement.chooseBetterOfTwo }, drawRandom };
 }
 
--- a/packages/measure/src/capacity/daemon-slopes.ts
+++ b/packages/measure/src/capacity/daemon-slopes.ts
@@ -34,7 +34,7 @@
 function listRoles(scene: proofs.Scene): Record<string, number[]> {
   return {
     entry: scene.entries.map((entry) => entry.child.pid ?? 0),
-    agent: scene.runners.map((runner) => runner.agent.child.pid ?? 0),
+    agent: scene.backendServers.map((runner) => runner.agent.child.pid ?? 0),
   };
 }
 
--- a/packages/measure/src/policies.ts
+++ b/packages/measure/src/policies.ts
@@ -8,7 +8,7 @@
 
 export const POLICIES: readonly NamedPolicy[] = [
   { name: 'round robin', build: core.createRoundRobinPolicy },
-  { name: 'better of two', build: core.createBetterOfTwoPolicy },
+  { name: 'better of two', build: core.createPowerOfTwoChoicesPolicy },
   { name: 'least outstanding', build: core.createLeastOutstandingPolicy },
   { name: 'late binding', build: core.createLateBindingPolicy },
 ];
--- a/packages/measure/src/real-load.ts
+++ b/packages/measure/src/real-load.ts
@@ -24,8 +24,8 @@
 /** Starts the processes of a deployment. */
 async function startDeployment(deployment: deployments.Deployment): Promise<proofs.Scene> {
   const scene = await proofs.createScene();
-  while (scene.runners.length < deployment.agents) {
-    const speed = deployment.speeds[scene.runners.length % deployment.speeds.length];
+  while (scene.backendServers.length < deployment.agents) {
+    const speed = deployment.speeds[scene.backendServers.length % deployment.speeds.length];
     const { stepMs, prefillTokensPerStep, maxBatch } = speed;
     await proofs.addRunner(scene, { stepMs, prefillTokensPerStep, maxBatch });
   }
--- a/packages/measure/src/tally.ts
+++ b/packages/measure/src/tally.ts
@@ -40,7 +40,7 @@
 
 /** Tells whether a call's caller got its whole answer within its time. */
 function isInTime(call: proofs.Call): boolean {
-  const completed = call.finals.some((final) => final.kind === 'completed');
+  const completed = call.outcomes.some((final) => final.kind === 'completed');
   return completed && call.endedMs - call.sentMs <= call.plan.timeoutMs;
 }
 
@@ -101,10 +101,10 @@
     counts.inTime += 1;
     counts.completedMs.push(call.endedMs - call.sentMs);
   }
-  if (call.heads > 0) {
+  if (call.headCount > 0) {
     counts.firstByteMs.push(call.firstByteMs - call.sentMs);
   }
-  const [final] = call.finals;
+  const [final] = call.outcomes;
   if (final?.kind !== 'failed') {
     addTo(tally.refusals, final?.kind === 'broken' ? 'connection broken' : 'completed', 1);
     return;
@@ -116,8 +116,8 @@
 /** Counts outcomes that must never be. */
 function countFaults(tally: Tally, call: proofs.Call, starts: number): void {
   const { payload, path } = call.plan;
-  const [final] = call.finals;
-  const whole = proofs.buildWholeAnswer(payload);
+  const [final] = call.outcomes;
+  const whole = proofs.buildCompleteResponse(payload);
   const once = path === '/v1/chat/completions';
   tally.faults.duplicates += once && starts > 1 ? 1 : 0;
   tally.faults.crossed += whole.startsWith(call.text) ? 0 : 1;
--- a/packages/proofs/src/callers-answers.test.ts
+++ b/packages/proofs/src/callers-answers.test.ts
@@ -39,7 +39,7 @@
 }
 
 /** Waits until a process has ended. */
-async function waitForExit(running: processFleet.Running): Promise<number | null> {
+async function waitForExit(running: processFleet.RunningProcess): Promise<number | null> {
   const { child } = running;
   return (
     child.exitCode ??
--- a/packages/proofs/src/failures-configuration.test.ts
+++ b/packages/proofs/src/failures-configuration.test.ts
@@ -5,7 +5,7 @@
 import * as standIns from '@toucanproxy/stand-ins';
 import * as exampleDocument from './mocks/example-document.js';
 import * as processFleet from './mocks/process-fleet.js';
-import * as processScene from './mocks/process-scene.js';
+import * as processFixture from './mocks/process-fixture.js';
 
 const NEW_TOKEN = 'band-stall';
 const WITH_NEW_TOKEN = {
@@ -20,7 +20,7 @@
 };
 
 /** Lists the versions that a process has taken, in order. */
-function listVersions(running: processFleet.Running): number[] {
+function listVersions(running: processFleet.RunningProcess): number[] {
   return running.lines
     .filter((line) => line.event === 'document')
     .map((line) => line.version as number);
@@ -31,7 +31,7 @@
 
 /** Waits until a process has taken a version. */
 function waitForVersion(
-  running: processFleet.Running,
+  running: processFleet.RunningProcess,
   version: number,
 ): Promise<processFleet.LogLine> {
   return running.waitForLine((line) => line.event === 'document' && line.version === version);
@@ -68,27 +68,27 @@
 // document. The entry learns a new credential from the agents all the same, its
 // callers get their answers, and the older document never comes back into force.
 nodeTest.test('configuration out, then older', async (context) => {
-  const scene = await processScene.createScene();
-  context.after(() => processScene.stopScene(scene));
-  await processScene.addRunner(scene);
-  const first = JSON.stringify(processScene.buildNextDocument(scene));
-  scene.platform.publish(processScene.SERVICE, first);
+  const scene = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(scene));
+  await processFixture.addBackendServer(scene);
+  const first = JSON.stringify(processFixture.buildNextDocument(scene));
+  scene.platform.publish(processFixture.SERVICE, first);
   const service = await startOldService(context, first);
-  const entry = await processScene.addEntry(scene, service);
+  const entry = await processFixture.addEntry(scene, service);
 
   service.setOutage(true);
-  processScene.publishNext(scene, WITH_NEW_TOKEN);
+  processFixture.publishNext(scene, WITH_NEW_TOKEN);
   await waitForVersion(entry, 2);
   const request = { prompt: 'new token', token: NEW_TOKEN };
-  const during = await processScene.sendChat(entry, request);
+  const during = await processFixture.sendChat(entry, request);
   assert.equal(during.status, 200, during.text);
 
   service.setOutage(false);
   const reads = service.countReads();
   const hasReadTwice = () => service.countReads() > reads + 1;
-  await processScene.waitUntil('reads of the old one', hasReadTwice, TWO_READS_MS);
+  await processFixture.waitUntil('reads of the old one', hasReadTwice, TWO_READS_MS);
   const after = { prompt: 'still new', token: NEW_TOKEN };
-  assert.equal((await processScene.sendChat(entry, after)).status, 200);
+  assert.equal((await processFixture.sendChat(entry, after)).status, 200);
   assert.deepEqual(listVersions(entry), [1, 2]);
 });
 
@@ -96,28 +96,28 @@
 // service, the higher version in the one and the lower in the other. Every
 // process ends on the higher one, whichever it read first, and none goes back.
 nodeTest.test("two operators' documents racing", async (context) => {
-  const scene = await processScene.createScene();
-  context.after(() => processScene.stopScene(scene));
-  const runner = await processScene.addRunner(scene);
+  const scene = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(scene));
+  const runner = await processFixture.addBackendServer(scene);
   const platform = await standIns.startPlatform();
   context.after(() => platform.stop());
-  const first = JSON.stringify(processScene.buildNextDocument(scene));
-  scene.platform.publish(processScene.SERVICE, first);
-  platform.publish(processScene.SERVICE, first);
-  const near = await processScene.addEntry(scene);
-  const far = await processScene.addEntry(scene, platform);
+  const first = JSON.stringify(processFixture.buildNextDocument(scene));
+  scene.platform.publish(processFixture.SERVICE, first);
+  platform.publish(processFixture.SERVICE, first);
+  const near = await processFixture.addEntry(scene);
+  const far = await processFixture.addEntry(scene, platform);
   const processes = [runner.agent, near, far];
   await Promise.all(processes.map((one) => waitForVersion(one, 1)));
 
-  const lower = JSON.stringify(processScene.buildNextDocument(scene));
-  const higher = JSON.stringify(processScene.buildNextDocument(scene, WITH_NEW_TOKEN));
-  platform.publish(processScene.SERVICE, higher);
-  scene.platform.publish(processScene.SERVICE, lower);
+  const lower = JSON.stringify(processFixture.buildNextDocument(scene));
+  const higher = JSON.stringify(processFixture.buildNextDocument(scene, WITH_NEW_TOKEN));
+  platform.publish(processFixture.SERVICE, higher);
+  scene.platform.publish(processFixture.SERVICE, lower);
   await Promise.all(processes.map((one) => waitForVersion(one, 3)));
 
   const request = { prompt: 'new token', token: NEW_TOKEN };
-  assert.equal((await processScene.sendChat(near, request)).status, 200);
-  assert.equal((await processScene.sendChat(far, request)).status, 200);
+  assert.equal((await processFixture.sendChat(near, request)).status, 200);
+  assert.equal((await processFixture.sendChat(far, request)).status, 200);
   processes.forEach((one) => {
     const versions = listVersions(one);
     assert.deepEqual(versions, [...versions].sort());
--- a/packages/proofs/src/failures-poison.test.ts
+++ b/packages/proofs/src/failures-poison.test.ts
@@ -3,7 +3,7 @@
 import * as path from 'node:path';
 import * as nodeTest from 'node:test';
 import * as standIns from '@toucanproxy/stand-ins';
-import * as processScene from './mocks/process-scene.js';
+import * as processFixture from './mocks/process-fixture.js';
 
 const MAX_CRASHES = 2;
 const MAX_RESENDS = 6;
@@ -12,29 +12,29 @@
 // through the other entry each time. After two crashes its content is refused
 // everywhere, and told as not run; the other backend servers go on serving.
 nodeTest.test('poison resent through two entries', async (context) => {
-  const scene = await processScene.createScene();
-  context.after(() => processScene.stopScene(scene));
+  const scene = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(scene));
   const digestKeyFile = path.join(scene.fleet.folder, 'digest-key');
   fs.writeFileSync(digestKeyFile, 'a key for tests');
-  while (scene.runners.length < MAX_CRASHES + 2) {
-    await processScene.addRunner(scene);
+  while (scene.backendServers.length < MAX_CRASHES + 2) {
+    await processFixture.addBackendServer(scene);
   }
-  processScene.publishNext(scene);
+  processFixture.publishNext(scene);
   const entries = [
-    await processScene.addEntry(scene, scene.platform, { digestKeyFile }),
-    await processScene.addEntry(scene, scene.platform, { digestKeyFile }),
+    await processFixture.addEntry(scene, scene.platform, { digestKeyFile }),
+    await processFixture.addEntry(scene, scene.platform, { digestKeyFile }),
   ];
   const poison = { prompt: standIns.CRASH_MARK, timeoutMs: 5000 };
-  const answers: processScene.ChatAnswer[] = [];
+  const answers: processFixture.ChatAnswer[] = [];
   while (answers.length < MAX_RESENDS && answers.at(-1)?.status !== 422) {
-    answers.push(await processScene.sendChat(entries[answers.length % 2], poison));
+    answers.push(await processFixture.sendChat(entries[answers.length % 2], poison));
   }
 
-  const told = answers.map((answer) => processScene.readRunState(answer));
+  const told = answers.map((answer) => processFixture.readRunState(answer));
   assert.equal(answers.at(-1)?.status, 422, JSON.stringify(answers));
   assert.equal(told.filter((state) => state !== 'not_run').length, MAX_CRASHES, told.join());
-  assert.equal(processScene.countStarts(scene, poison), MAX_CRASHES);
+  assert.equal(processFixture.countStarts(scene, poison), MAX_CRASHES);
   const other = { prompt: 'harmless' };
-  const answer = await processScene.sendChat(entries[0], other);
-  assert.equal(processScene.readWords(answer), processScene.buildExpectedWords(other));
+  const answer = await processFixture.sendChat(entries[0], other);
+  assert.equal(processFixture.readWords(answer), processFixture.buildExpectedWords(other));
 });
--- a/packages/proofs/src/index.ts
+++ b/packages/proofs/src/index.ts
@@ -14,12 +14,12 @@
 export type { FaultSpec } from './random-runs/scenario.js';
 export {
   addEntry,
-  addRunner,
-  createScene,
+  addBackendServer as addRunner,
+  createProcessFixture as createScene,
   publishNext,
   sendChat,
-  startScene,
-  stopScene,
-  type Scene,
-} from './mocks/process-scene.js';
-export type { Running } from './mocks/process-fleet.js';
+  startProcessFixture as startScene,
+  stopProcessFixture as stopScene,
+  type ProcessFixture as Scene,
+} from './mocks/process-fixture.js';
+export type { RunningProcess as Running } from './mocks/process-fleet.js';
--- a/packages/proofs/src/invariants.ts
+++ b/packages/proofs/src/invariants.ts
@@ -113,18 +113,18 @@
   const who = `call ${call.callerId} (${payload.contentId})`;
   const isFinal = effect.kind === 'answerEnd' || effect.kind === 'answerFailure';
   const expectedFinals = isFinal ? 1 : 0;
-  const one = call.finals.length === expectedFinals;
+  const one = call.outcomes.length === expectedFinals;
   checkers.expectThat(
     checker,
     one,
     invariant.Invariant.ONE_FINAL_ANSWER,
     () => `${who}: ${effect.kind}`,
   );
-  const whole = callPayload.buildWholeAnswer(payload);
+  const whole = callPayload.buildCompleteResponse(payload);
   const own =
     effect.kind === 'answerEnd'
-      ? call.text === whole && call.heads === 1
-      : whole.startsWith(call.text) && call.heads <= 1;
+      ? call.text === whole && call.headCount === 1
+      : whole.startsWith(call.text) && call.headCount <= 1;
   checkers.expectThat(
     checker,
     own,
@@ -240,9 +240,9 @@
 /** Checks, once all has ended, that each caller that stayed got its answer. */
 export function checkEnd(checker: checkers.Checker): void {
   checker.fleet?.calls
-    .filter((call) => !call.left)
+    .filter((call) => !call.hasDisconnected)
     .forEach((call) => {
-      const count = call.finals.length;
+      const count = call.outcomes.length;
       const detail = () => `call ${call.callerId} through ${call.entryId}: ${count} final answers`;
       checkers.expectThat(checker, count === 1, invariant.Invariant.ONE_FINAL_ANSWER, detail);
     });
--- a/packages/proofs/src/keys-processes.test.ts
+++ b/packages/proofs/src/keys-processes.test.ts
@@ -76,7 +76,7 @@
 }
 
 /** Sends one order with a key and reads its answer. */
-async function sendOrder(entry: processFleet.Running, key: string) {
+async function sendOrder(entry: processFleet.RunningProcess, key: string) {
   const url = `http://127.0.0.1:${entry.started.callerPort}/v1/chat/completions`;
   const response = await undici.request(url, {
     method: 'POST',
--- a/packages/proofs/src/mocks/call-payload.ts
+++ b/packages/proofs/src/mocks/call-payload.ts
@@ -32,6 +32,6 @@
 }
 
 /** Builds the whole answer. */
-export function buildWholeAnswer(payload: CallPayload): string {
+export function buildCompleteResponse(payload: CallPayload): string {
   return buildWords(payload, 0, payload.answerTokens);
 }
--- a/packages/proofs/src/mocks/caller-fleet.ts
+++ b/packages/proofs/src/mocks/caller-fleet.ts
@@ -8,9 +8,9 @@
 
 export type CallerFleet = {
   fleet: processFleet.Fleet;
-  entry: processFleet.Running;
-  agent: processFleet.Running;
-  engine: processFleet.Running;
+  entry: processFleet.RunningProcess;
+  agent: processFleet.RunningProcess;
+  engine: processFleet.RunningProcess;
   port: number;
   baseUrl: string;
   publish: (changes: Record<string, unknown>) => Promise<void>;
--- a/packages/proofs/src/mocks/fleet-links.ts
+++ b/packages/proofs/src/mocks/fleet-links.ts
@@ -21,7 +21,7 @@
   const connection = virtualNetwork.createConnection(fleet.network, ends);
   entry.links.set(backendServerId, connection);
   fleetState.schedule(fleet, 0, () =>
-    fleetState.runIn(fleet, entry, life, () =>
+    fleetState.runInProcess(fleet, entry, life, () =>
       fleet.applyEntry(entry, { kind: 'linkOpened', backendServerId }),
     ),
   );
@@ -40,7 +40,7 @@
   const { linkId } = connection;
   connection.agentOpen = true;
   agent.links.set(linkId, connection);
-  fleetState.runIn(fleet, agent, agent.life, () =>
+  fleetState.runInProcess(fleet, agent, agent.life, () =>
     fleet.applyAgent(agent, { kind: 'linkOpened', linkId }),
   );
 }
@@ -63,7 +63,7 @@
     if (agent?.links.get(linkId) !== connection) {
       return;
     }
-    fleetState.runIn(fleet, agent, agent.life, () => {
+    fleetState.runInProcess(fleet, agent, agent.life, () => {
       agent.links.delete(linkId);
       connection.agentOpen = false;
       fleet.applyAgent(agent, { kind: 'linkClosed', linkId });
@@ -96,7 +96,7 @@
     if (entry === undefined || entry.links.get(backendServerId) !== connection) {
       return;
     }
-    fleetState.runIn(fleet, entry, entry.life, () => {
+    fleetState.runInProcess(fleet, entry, entry.life, () => {
       if (entry.links.get(backendServerId) === connection) {
         entry.links.delete(backendServerId);
         connection.entryOpen = false;
@@ -139,7 +139,7 @@
   if (agent === undefined) {
     return;
   }
-  fleetState.runIn(fleet, agent, agent.life, () => {
+  fleetState.runInProcess(fleet, agent, agent.life, () => {
     if (agent.links.get(linkId) === connection) {
       fleet.applyAgent(agent, { kind: 'entryMessage', linkId, message });
     }
@@ -174,7 +174,7 @@
   if (entry === undefined) {
     return;
   }
-  fleetState.runIn(fleet, entry, entry.life, () => {
+  fleetState.runInProcess(fleet, entry, entry.life, () => {
     if (entry.links.get(backendServerId) === connection) {
       fleet.applyEntry(entry, { kind: 'agentMessage', backendServerId, message });
     }
@@ -187,7 +187,7 @@
   kind: string | undefined,
   pass: () => void,
 ): void {
-  if (kind !== 'hello' && fleet.doubledShare > 0 && fleet.drawRandom() < fleet.doubledShare) {
+  if (kind !== 'hello' && fleet.duplicatedShare > 0 && fleet.drawRandom() < fleet.duplicatedShare) {
     fleetState.schedule(fleet, fleet.drawRandom() * DOUBLED_LATE_MS, pass);
   }
 }
--- a/packages/proofs/src/mocks/fleet-processes.ts
+++ b/packages/proofs/src/mocks/fleet-processes.ts
@@ -88,12 +88,12 @@
   const stored = virtualPlatform.fetchDocument(platform, service, fleet.nowMs);
   const inForce = core.getVersion(process.state.documents, service);
   if (stored !== undefined && stored.document.version !== inForce) {
-    fleetState.runIn(fleet, process, life, () =>
+    fleetState.runInProcess(fleet, process, life, () =>
       fleetState.applyEvent(fleet, process, { kind: 'documentRead', stored }),
     );
   }
   const addresses = [...platform.leavingAddresses];
-  fleetState.runIn(fleet, process, life, () => applyVmList(fleet, process, addresses));
+  fleetState.runInProcess(fleet, process, life, () => applyVmList(fleet, process, addresses));
 }
 
 /** Hands the VMs listed as leaving to a process. */
@@ -114,7 +114,7 @@
 function endCalls(fleet: fleetState.VirtualFleet, entry: virtualProcesses.EntryProcess): void {
   fleet.calls
     .filter((call) => call.entryId === entry.id && call.entryLife === entry.life)
-    .filter((call) => call.finals.length === 0 && !call.left)
+    .filter((call) => call.outcomes.length === 0 && !call.hasDisconnected)
     .forEach((call) => virtualCallers.recordFinal(call, { kind: 'broken' }, fleet.nowMs));
 }
 
@@ -169,7 +169,7 @@
   fleet: fleetState.VirtualFleet,
   process: virtualProcesses.VirtualProcess,
 ): void {
-  fleetState.runIn(fleet, process, process.life, () =>
+  fleetState.runInProcess(fleet, process, process.life, () =>
     fleetState.applyEvent(fleet, process, { kind: 'shutdownStarted' }),
   );
 }
@@ -190,6 +190,6 @@
       applyTick(fleet, process);
     }
     const held = process.held.splice(0);
-    held.forEach((action) => fleetState.runIn(fleet, process, life, action));
+    held.forEach((action) => fleetState.runInProcess(fleet, process, life, action));
   });
 }
--- a/packages/proofs/src/mocks/fleet-state.ts
+++ b/packages/proofs/src/mocks/fleet-state.ts
@@ -47,7 +47,7 @@
   agents: Map<string, AgentProcess>;
   calls: virtualCallers.Call[];
   /** Messages that links hand over a second time, as a share of all. */
-  doubledShare: number;
+  duplicatedShare: number;
   /** Events handled by cores. */
   eventCount: number;
   /** Applies one event to an entry and carries out its effects. */
@@ -82,7 +82,7 @@
 }
 
 /** Runs an action in a process, later where it is paused, never in another life. */
-export function runIn(
+export function runInProcess(
   fleet: VirtualFleet,
   process: VirtualProcess,
   life: number,
--- a/packages/proofs/src/mocks/forwarder.ts
+++ b/packages/proofs/src/mocks/forwarder.ts
@@ -5,13 +5,13 @@
 export type Forwarder = {
   port: number;
   /** Stops passing bytes on the connections there are; new ones work. */
-  silence: () => void;
+  blackhole: () => void;
   /** Stops passing bytes on every connection, new ones too, until opened. */
   block: () => void;
   /** Lets connections that come from now on pass. */
   unblock: () => void;
   /** Passes requests on and drops the answers, on the connections there are. */
-  cutAnswers: () => void;
+  dropResponses: () => void;
   /** Resets the connections there are. */
   reset: () => void;
   /** Holds all bytes up by a time, milliseconds; 0 ends it. */
@@ -93,7 +93,7 @@
   });
   return {
     port: (server.address() as net.AddressInfo).port,
-    silence,
+    blackhole: silence,
     block: () => {
       state.blocked = true;
       silence();
@@ -101,7 +101,7 @@
     unblock: () => {
       state.blocked = false;
     },
-    cutAnswers: () => state.pairs.forEach((pair) => Object.assign(pair, { passesNear: false })),
+    dropResponses: () => state.pairs.forEach((pair) => Object.assign(pair, { passesNear: false })),
     reset: () =>
       state.pairs.forEach(({ near, far }) => {
         near.resetAndDestroy();
--- a/packages/proofs/src/mocks/process-scene.ts
+++ b/packages/proofs/src/mocks/process-fixture.ts
@@ -11,18 +11,18 @@
 
 export type Runner = {
   id: string;
-  engine: processFleet.Running;
-  agent: processFleet.Running;
+  engine: processFleet.RunningProcess;
+  agent: processFleet.RunningProcess;
   journalFile: string;
   /** Address that documents give for the agent; a forwarder may stand in for it. */
   address: string;
 };
 
-export type Scene = {
+export type ProcessFixture = {
   fleet: processFleet.Fleet;
   platform: standIns.Platform;
-  runners: Runner[];
-  entries: processFleet.Running[];
+  backendServers: Runner[];
+  entries: processFleet.RunningProcess[];
   version: number;
 };
 
@@ -66,25 +66,25 @@
 }
 
 /** Creates a scene with its platform only. */
-export async function createScene(): Promise<Scene> {
+export async function createProcessFixture(): Promise<ProcessFixture> {
   const platform = await standIns.startPlatform();
   const fleet = processFleet.createFleet();
-  return { fleet, platform, runners: [], entries: [], version: 0 };
+  return { fleet, platform, backendServers: [], entries: [], version: 0 };
 }
 
 /** Ends everything. */
-export function stopScene(scene: Scene): void {
+export function stopProcessFixture(scene: ProcessFixture): void {
   processFleet.stopFleet(scene.fleet);
   scene.platform.stop();
 }
 
 /** Starts an agent process. */
 export function startAgent(
-  scene: Scene,
+  scene: ProcessFixture,
   id: string,
   enginePort: unknown,
   extra: Record<string, unknown> = {},
-): Promise<processFleet.Running> {
+): Promise<processFleet.RunningProcess> {
   return processFleet.startDaemon(scene.fleet, 'agent', {
     backendServerId: id,
     service: SERVICE,
@@ -96,11 +96,11 @@
 }
 
 /** Adds a backend server: an engine and the agent beside it. */
-export async function addRunner(
-  scene: Scene,
+export async function addBackendServer(
+  scene: ProcessFixture,
   engineOptions: Record<string, unknown> = {},
 ): Promise<Runner> {
-  const id = `runner-${scene.runners.length + 1}`;
+  const id = `runner-${scene.backendServers.length + 1}`;
   const journalFile = path.join(scene.fleet.folder, `${id}.journal`);
   fs.writeFileSync(journalFile, '');
   const options = { journalFile, ...engineOptions };
@@ -108,29 +108,29 @@
   const agent = await startAgent(scene, id, engine.started.port);
   const address = `127.0.0.1:${agent.started.linkPort}`;
   const runner = { id, engine, agent, journalFile, address };
-  scene.runners.push(runner);
+  scene.backendServers.push(runner);
   return runner;
 }
 
 /** Builds the next document of a scene. */
 export function buildNextDocument(
-  scene: Scene,
+  scene: ProcessFixture,
   overrides: Record<string, unknown> = {},
 ): Record<string, unknown> {
   scene.version += 1;
-  return exampleDocument.buildDocument(SERVICE, scene.version, scene.runners, {
+  return exampleDocument.buildDocument(SERVICE, scene.version, scene.backendServers, {
     timing: TIMING,
     ...overrides,
   });
 }
 
 /** Publishes the next document. */
-export function publishNext(scene: Scene, overrides: Record<string, unknown> = {}): void {
+export function publishNext(scene: ProcessFixture, overrides: Record<string, unknown> = {}): void {
   scene.platform.publish(SERVICE, JSON.stringify(buildNextDocument(scene, overrides)));
 }
 
 /** Counts the backend servers that an entry has links to. */
-async function countLinks(entry: processFleet.Running): Promise<number> {
+async function countLinks(entry: processFleet.RunningProcess): Promise<number> {
   const url = `http://127.0.0.1:${entry.started.operatorPort}/status`;
   const response = await undici.request(url);
   const status = (await response.body.json()) as { backendServers: { state: string }[] };
@@ -139,10 +139,10 @@
 
 /** Adds an entry and waits until it has links to every backend server. */
 export async function addEntry(
-  scene: Scene,
+  scene: ProcessFixture,
   platform: { port: number } = scene.platform,
   extra: Record<string, unknown> = {},
-): Promise<processFleet.Running> {
+): Promise<processFleet.RunningProcess> {
   const entry = await processFleet.startDaemon(scene.fleet, 'entry', {
     entryId: `entry-${scene.entries.length + 1}`,
     failureDomain: 'suva-loft',
@@ -153,7 +153,7 @@
   scene.entries.push(entry);
   await entry.waitForLine((line) => line.event === 'document');
   const untilMs = Date.now() + WAIT_MS;
-  while ((await countLinks(entry)) < scene.runners.length) {
+  while ((await countLinks(entry)) < scene.backendServers.length) {
     if (Date.now() > untilMs) {
       throw new Error('not linked to every backend server');
     }
@@ -163,14 +163,14 @@
 }
 
 /** Starts a scene of so many backend servers and entries. */
-export async function startScene(
+export async function startProcessFixture(
   size: { runners: number; entries: number },
   engineOptions: Record<string, unknown> = {},
   overrides: Record<string, unknown> = {},
-): Promise<Scene> {
-  const scene = await createScene();
-  while (scene.runners.length < size.runners) {
-    await addRunner(scene, engineOptions);
+): Promise<ProcessFixture> {
+  const scene = await createProcessFixture();
+  while (scene.backendServers.length < size.runners) {
+    await addBackendServer(scene, engineOptions);
   }
   publishNext(scene, overrides);
   while (scene.entries.length < size.entries) {
@@ -197,7 +197,7 @@
 
 /** Sends a request through an entry and waits for what its caller gets. */
 export async function sendChat(
-  entry: processFleet.Running,
+  entry: processFleet.RunningProcess,
   options: ChatOptions,
 ): Promise<ChatAnswer> {
   const headers: Record<string, string> = {
@@ -249,8 +249,8 @@
 }
 
 /** Reads the lines of every journal about one request, or about all. */
-export function readJournals(scene: Scene, options?: ChatOptions): JournalLine[] {
-  const lines = scene.runners.flatMap((runner) =>
+export function readJournals(scene: ProcessFixture, options?: ChatOptions): JournalLine[] {
+  const lines = scene.backendServers.flatMap((runner) =>
     fs
       .readFileSync(runner.journalFile, 'utf8')
       .split('\n')
@@ -262,17 +262,17 @@
 }
 
 /** Counts how often a request was started, over all engines. */
-export function countStarts(scene: Scene, options: ChatOptions): number {
+export function countStarts(scene: ProcessFixture, options: ChatOptions): number {
   return readJournals(scene, options).filter((line) => line.event === 'start').length;
 }
 
 /** Waits until an engine has started a request. */
-export function waitForStart(scene: Scene, options: ChatOptions): Promise<void> {
+export function waitForStart(scene: ProcessFixture, options: ChatOptions): Promise<void> {
   return waitUntil(`start of ${options.prompt}`, () => countStarts(scene, options) > 0);
 }
 
 /** Waits until a process has exited and gets its exit code; null after a signal. */
-export async function waitForExit(running: processFleet.Running): Promise<number | null> {
+export async function waitForExit(running: processFleet.RunningProcess): Promise<number | null> {
   const { child } = running;
   await waitUntil('exit', () => child.exitCode !== null || child.signalCode !== null);
   return child.exitCode;
@@ -283,7 +283,7 @@
  * would; returns the first other answer, or the last one when the wait is over.
  */
 export async function sendUntilServed(
-  entry: processFleet.Running,
+  entry: processFleet.RunningProcess,
   options: ChatOptions,
 ): Promise<ChatAnswer> {
   const untilMs = Date.now() + WAIT_MS;
--- a/packages/proofs/src/mocks/process-fleet.ts
+++ b/packages/proofs/src/mocks/process-fleet.ts
@@ -16,7 +16,7 @@
 export type LogLine = Record<string, unknown>;
 
 /** One process with the log lines it has written. */
-export type Running = {
+export type RunningProcess = {
   child: childProcess.ChildProcess;
   lines: LogLine[];
   started: LogLine;
@@ -25,7 +25,7 @@
 
 export type Fleet = {
   folder: string;
-  running: Running[];
+  running: RunningProcess[];
 };
 
 const LINE_TIMEOUT_MS = 30_000;
@@ -42,7 +42,7 @@
 }
 
 /** Starts one process and waits for its line that says it has started. */
-async function startProcess(fleet: Fleet, args: string[]): Promise<Running> {
+async function startProcess(fleet: Fleet, args: string[]): Promise<RunningProcess> {
   const child = childProcess.spawn(process.execPath, args, {
     stdio: ['ignore', 'pipe', 'inherit'],
   });
@@ -73,7 +73,7 @@
       };
       waiting.add(check);
     });
-  const running: Running = { child, lines, started: {}, waitForLine };
+  const running: RunningProcess = { child, lines, started: {}, waitForLine };
   fleet.running.push(running);
   running.started = await waitForLine((line) => line.event === 'started');
   return running;
@@ -84,7 +84,7 @@
   fleet: Fleet,
   kind: 'engine' | 'platform' | 'plain-service' | 'weight-store',
   options: Record<string, unknown>,
-): Promise<Running> {
+): Promise<RunningProcess> {
   return startProcess(fleet, [STAND_INS, kind, JSON.stringify(options)]);
 }
 
@@ -93,7 +93,7 @@
   fleet: Fleet,
   kind: 'entry' | 'agent',
   settings: Record<string, unknown>,
-): Promise<Running> {
+): Promise<RunningProcess> {
   const file = path.join(fleet.folder, `${kind}-${fleet.running.length}.json`);
   fs.writeFileSync(file, JSON.stringify(settings));
   return startProcess(fleet, [CLI, kind, '--settings', file]);
--- a/packages/proofs/src/mocks/virtual-callers.ts
+++ b/packages/proofs/src/mocks/virtual-callers.ts
@@ -42,11 +42,11 @@
   entryLife: number;
   sentMs: number;
   text: string;
-  heads: number;
+  headCount: number;
   firstByteMs: number;
-  finals: Final[];
+  outcomes: Final[];
   endedMs: number;
-  left: boolean;
+  hasDisconnected: boolean;
 };
 
 const decoder = new TextDecoder();
@@ -81,7 +81,7 @@
 
 /** Notes the end of a call. */
 export function recordFinal(call: Call, final: Final, now: number): void {
-  call.finals.push(final);
+  call.outcomes.push(final);
   call.endedMs = now;
 }
 
@@ -89,7 +89,7 @@
 export function receiveAnswer(call: Call, effect: CallerEffect, now: number): void {
   switch (effect.kind) {
     case 'answerHead':
-      call.heads += 1;
+      call.headCount += 1;
       call.firstByteMs = now;
       return;
     case 'answerData':
--- a/packages/proofs/src/mocks/virtual-engine.ts
+++ b/packages/proofs/src/mocks/virtual-engine.ts
@@ -66,7 +66,7 @@
   id: string;
   speed: EngineSpeed;
   /** Factor on the step time; more than 1 while the engine is slow. */
-  slowness: number;
+  slowdown: number;
   up: boolean;
   waiting: EngineRun[];
   batch: EngineRun[];
@@ -92,7 +92,7 @@
   clock: EngineClock,
 ): VirtualEngine {
   const idle = { waiting: [], batch: [], stepping: false, cache: new Set<number>(), journal: [] };
-  return { id, speed, slowness: 1, up: true, ...idle, clock };
+  return { id, speed, slowdown: 1, up: true, ...idle, clock };
 }
 
 /** Writes one line. */
@@ -159,7 +159,7 @@
     return;
   }
   engine.stepping = true;
-  engine.clock.schedule(engine.speed.stepMs * engine.slowness, () => {
+  engine.clock.schedule(engine.speed.stepMs * engine.slowdown, () => {
     engine.stepping = false;
     runStep(engine);
     scheduleStep(engine);
--- a/packages/proofs/src/mocks/virtual-fleet.test.ts
+++ b/packages/proofs/src/mocks/virtual-fleet.test.ts
@@ -47,8 +47,8 @@
 nodeTest.test('each call gets its own whole answer', () => {
   const fleet = runCalls(1);
   fleet.calls.forEach((call) => {
-    assert.deepEqual(call.finals, [{ kind: 'completed' }]);
-    assert.equal(call.text, callPayload.buildWholeAnswer(call.plan.payload));
+    assert.deepEqual(call.outcomes, [{ kind: 'completed' }]);
+    assert.equal(call.text, callPayload.buildCompleteResponse(call.plan.payload));
   });
 });
 
--- a/packages/proofs/src/mocks/virtual-fleet.ts
+++ b/packages/proofs/src/mocks/virtual-fleet.ts
@@ -42,7 +42,7 @@
     entries: new Map(),
     agents: new Map(),
     calls: [],
-    doubledShare: 0,
+    duplicatedShare: 0,
     eventCount: 0,
     applyEntry: (entry, event) => applyEntry(fleet, entry, event),
     applyAgent: (agent, event) => applyAgent(fleet, agent, event),
@@ -164,7 +164,7 @@
     case 'startOnEngine': {
       const report: virtualEngine.Report = (event) =>
         fleetState.schedule(fleet, ENGINE_LATENCY_MS, () =>
-          fleetState.runIn(fleet, agent, life, () => fleet.applyAgent(agent, event)),
+          fleetState.runInProcess(fleet, agent, life, () => fleet.applyAgent(agent, event)),
         );
       virtualEngine.startRun(engine, effect.refKey, effect.offer, report);
       return;
@@ -191,7 +191,7 @@
   const { life } = process;
   const stored = virtualPlatform.readDocument(json);
   fleetState.schedule(fleet, 0, () =>
-    fleetState.runIn(fleet, process, life, () =>
+    fleetState.runInProcess(fleet, process, life, () =>
       fleetState.applyEvent(fleet, process, { kind: 'documentRead', stored }),
     ),
   );
@@ -211,11 +211,11 @@
     entryLife: entry?.life ?? 0,
     sentMs: fleet.nowMs,
     text: '',
-    heads: 0,
+    headCount: 0,
     firstByteMs: 0,
-    finals: [],
+    outcomes: [],
     endedMs: 0,
-    left: false,
+    hasDisconnected: false,
   };
   fleet.calls.push(call);
   if (entry === undefined || !entry.alive) {
@@ -224,7 +224,7 @@
   }
   const event = { kind: 'requestArrived', request: virtualCallers.buildArrived(call) } as const;
   fleetState.schedule(fleet, CLIENT_LATENCY_MS, () =>
-    fleetState.runIn(fleet, entry, call.entryLife, () => fleet.applyEntry(entry, event)),
+    fleetState.runInProcess(fleet, entry, call.entryLife, () => fleet.applyEntry(entry, event)),
   );
   return call;
 }
@@ -233,10 +233,10 @@
 export function closeCall(fleet: fleetState.VirtualFleet, call: virtualCallers.Call): void {
   const entry = fleet.entries.get(call.entryId);
   const { callerId } = call;
-  call.left = call.left || call.finals.length === 0;
+  call.hasDisconnected = call.hasDisconnected || call.outcomes.length === 0;
   if (entry !== undefined) {
     fleetState.schedule(fleet, CLIENT_LATENCY_MS, () =>
-      fleetState.runIn(fleet, entry, call.entryLife, () =>
+      fleetState.runInProcess(fleet, entry, call.entryLife, () =>
         fleet.applyEntry(entry, { kind: 'callerLeft', callerId }),
       ),
     );
@@ -250,7 +250,7 @@
   effect: virtualCallers.CallerEffect,
 ): void {
   const call = fleet.calls[effect.callerId - 1];
-  if (call === undefined || call.left || call.entryLife !== entry.life) {
+  if (call === undefined || call.hasDisconnected || call.entryLife !== entry.life) {
     return;
   }
   virtualCallers.receiveAnswer(call, effect, fleet.nowMs);
--- a/packages/proofs/src/mocks/virtual-network.ts
+++ b/packages/proofs/src/mocks/virtual-network.ts
@@ -92,6 +92,6 @@
 }
 
 /** Forgets connections that both ends have closed. */
-export function removeClosed(network: Network): void {
+export function removeClosedConnections(network: Network): void {
   network.connections = network.connections.filter((one) => one.entryOpen || one.agentOpen);
 }
--- a/packages/proofs/src/mocks/virtual-platform.ts
+++ b/packages/proofs/src/mocks/virtual-platform.ts
@@ -6,7 +6,7 @@
   /** Published documents, the newest last. */
   published: core.StoredDocument[];
   /** No call is answered before this time, milliseconds. */
-  outUntilMs: number;
+  unavailableUntilMs: number;
   /** Calls are answered with the oldest document before this time, milliseconds. */
   staleUntilMs: number;
   leavingAddresses: string[];
@@ -14,7 +14,7 @@
 
 /** Creates a platform that has published nothing. */
 export function createVirtualPlatform(): VirtualPlatform {
-  return { published: [], outUntilMs: 0, staleUntilMs: 0, leavingAddresses: [] };
+  return { published: [], unavailableUntilMs: 0, staleUntilMs: 0, leavingAddresses: [] };
 }
 
 /** Reads a document from its text; throws where it is faulty. */
@@ -37,7 +37,7 @@
   service: string,
   now: number,
 ): core.StoredDocument | undefined {
-  if (now < platform.outUntilMs) {
+  if (now < platform.unavailableUntilMs) {
     return undefined;
   }
   const own = platform.published.filter((stored) => stored.document.service === service);
--- a/packages/proofs/src/random-runs/apply-fault.ts
+++ b/packages/proofs/src/random-runs/apply-fault.ts
@@ -83,13 +83,13 @@
     entry.links.delete(one.agentId);
     one.entryOpen = false;
     const event = { kind: 'linkClosed', backendServerId: one.agentId } as const;
-    fleetState.runIn(fleet, entry, entry.life, () => fleet.applyEntry(entry, event));
+    fleetState.runInProcess(fleet, entry, entry.life, () => fleet.applyEntry(entry, event));
   }
   if (agent !== undefined && agent.links.get(one.linkId) === one) {
     agent.links.delete(one.linkId);
     one.agentOpen = false;
     const event = { kind: 'linkClosed', linkId: one.linkId } as const;
-    fleetState.runIn(fleet, agent, agent.life, () => fleet.applyAgent(agent, event));
+    fleetState.runInProcess(fleet, agent, agent.life, () => fleet.applyAgent(agent, event));
   }
 }
 
@@ -105,17 +105,17 @@
 /** Slows an engine for a while. */
 function applySlowness(fleet: fleetState.VirtualFleet, fault: FaultOf<'engineSlowed'>): void {
   const { engine } = pickAgent(fleet, fault.agent);
-  engine.slowness = fault.factor;
+  engine.slowdown = fault.factor;
   fleetState.schedule(fleet, fault.ms, () => {
-    engine.slowness = 1;
+    engine.slowdown = 1;
   });
 }
 
 /** Doubles messages for a while. */
 function applyDoubling(fleet: fleetState.VirtualFleet, fault: FaultOf<'messagesDoubled'>): void {
-  fleet.doubledShare = fault.percent / 100;
+  fleet.duplicatedShare = fault.percent / 100;
   fleetState.schedule(fleet, fault.ms, () => {
-    fleet.doubledShare = 0;
+    fleet.duplicatedShare = 0;
   });
 }
 
@@ -146,7 +146,7 @@
   partition: ({ fleet }, fault) => beginPartition(fleet, fault),
   messagesDoubled: ({ fleet }, fault) => applyDoubling(fleet, fault),
   documentOut: ({ fleet }, fault) => {
-    fleet.platform.outUntilMs = fleet.nowMs + fault.ms;
+    fleet.platform.unavailableUntilMs = fleet.nowMs + fault.ms;
   },
   documentStale: ({ fleet }, fault) => {
     fleet.platform.staleUntilMs = fleet.nowMs + fault.ms;
--- a/packages/proofs/src/random-runs/found-scenarios.test.ts
+++ b/packages/proofs/src/random-runs/found-scenarios.test.ts
@@ -108,6 +108,6 @@
         { atMs: 690, kind, entry: 0, agent: 0 } as scenarios.FaultSpec,
       ],
     });
-    report.calls.forEach((one) => assert.deepEqual(one.finals, [{ kind: 'completed' }]));
+    report.calls.forEach((one) => assert.deepEqual(one.outcomes, [{ kind: 'completed' }]));
   }),
 );
--- a/packages/proofs/src/random-runs/run-scenario.ts
+++ b/packages/proofs/src/random-runs/run-scenario.ts
@@ -139,7 +139,7 @@
   send(spec.entry);
   spec.resends.forEach((resend) =>
     fleetState.schedule(fleet, resend.afterMs, () => {
-      const done = sent.some((call) => call.finals.some((final) => final.kind === 'completed'));
+      const done = sent.some((call) => call.outcomes.some((final) => final.kind === 'completed'));
       if (!done) {
         send(resend.entry);
       }
@@ -190,7 +190,7 @@
   const untilMs = run.fleet.nowMs + ms;
   while (run.fleet.nowMs < untilMs && run.checker.violations.length === 0 && !isDone()) {
     virtualFleet.advanceFleet(run.fleet, SLICE_MS);
-    virtualNetwork.removeClosed(run.fleet.network);
+    virtualNetwork.removeClosedConnections(run.fleet.network);
   }
 }
 
@@ -234,7 +234,8 @@
   const beganMs = fleet.nowMs - WARM_UP_MS;
   scheduleScenario(run);
   advanceUntil(run, scenarios.ACTIVE_MS, () => false);
-  const isAnswered = () => fleet.calls.every((call) => call.left || call.finals.length > 0);
+  const isAnswered = () =>
+    fleet.calls.every((call) => call.hasDisconnected || call.outcomes.length > 0);
   const quietFromMs = fleet.nowMs + scenarios.LONGEST_FAULT_MS + scenarios.LONGEST_RESEND_MS;
   advanceUntil(run, QUIET_MS, () => fleet.nowMs > quietFromMs && isAnswered());
   startStopped(run);
--- a/packages/proofs/src/random-runs/soak.ts
+++ b/packages/proofs/src/random-runs/soak.ts
@@ -28,7 +28,7 @@
   totals.calls += report.calls.length;
   totals.virtualMs += report.virtualMs;
   Object.entries(report.faults).forEach(([kind, count]) => addCount(totals.faults, kind, count));
-  report.calls.forEach((call) => addCount(totals.ends, call.finals[0]?.kind ?? 'left'));
+  report.calls.forEach((call) => addCount(totals.ends, call.outcomes[0]?.kind ?? 'left'));
 }
 
 /** Runs batches until the time is over or an invariant is broken. */
--- a/packages/proofs/src/soak/soak-faults.ts
+++ b/packages/proofs/src/soak/soak-faults.ts
@@ -185,7 +185,7 @@
     },
     [FaultKind.CALLERS_SILENT]: () => {
       noteDisturbance(fleet, gateway, forMs + AFTER_MS);
-      gateway.callers.silence();
+      gateway.callers.blackhole();
       // Else a connection that rests would stay silent for good, and lose a call
       // long after the fault is over.
       setTimeout(() => gateway.callers.reset(), forMs);
@@ -204,7 +204,7 @@
     },
     [FaultKind.STORE_LINK_SILENT]: () => {
       noteStoreFault(fleet, gateway.index, 0);
-      gateway.store.silence();
+      gateway.store.blackhole();
     },
     [FaultKind.STORE_LINK_SLOW]: () => {
       noteStoreFault(fleet, gateway.index, forMs);
@@ -254,8 +254,8 @@
     [FaultKind.BACKEND_RESTART]: () => restartBackend(fleet, backend, forMs, true),
     [FaultKind.BACKEND_DRAIN]: () => withdrawBackend(fleet, backend, forMs),
     [FaultKind.BACKEND_RESET]: () => link.reset(),
-    [FaultKind.BACKEND_SILENT]: () => link.silence(),
-    [FaultKind.BACKEND_ANSWERS_CUT]: () => link.cutAnswers(),
+    [FaultKind.BACKEND_SILENT]: () => link.blackhole(),
+    [FaultKind.BACKEND_ANSWERS_CUT]: () => link.dropResponses(),
     [FaultKind.BACKEND_SLOW]: () => holdLink(link, forMs),
     [FaultKind.ENTRY_UNREADABLE]: () => {
       standInWire.writeMalformedEntry(fleet.store, server.id);
