--- a/packages/core/src/gateway/cell-map.test.ts
+++ b/packages/core/src/gateway/cell-map.test.ts
@@ -9,29 +9,30 @@
 const { test } = nodeTest;
 const SERVICE = 'one';
 
-/** Takes in the entries of some backend servers. */
+/** Adds the store entries of several backend servers. */
 function addServers(servers: backendServers.BackendServers, from: number, until: number): void {
   Array.from({ length: until - from }, (_, index) =>
     serverEntries.applyEntry(servers, gatewayFixture.buildEntry(`server-${from + index}`), 0),
   );
 }
 
-/** Lists the cells of all backend servers, worked out without anything kept. */
-function listAnew(servers: backendServers.BackendServers): Map<string, string> {
+/** Computes the cells of all backend servers without a cache. */
+function computeUncached(servers: backendServers.BackendServers): Map<string, string> {
   const ids = backendServers.listIds(servers, SERVICE);
   const cellNames = scheduler.listCellNames(SERVICE, ids.length);
   return new Map(ids.map((id) => [id, scheduler.findCell(cellNames, id)]));
 }
 
-test('cells that are kept are those that would be found', () => {
-  // Backend servers come and go, and with them the number of cells. Two gateways that have
-  // seen different numbers in between must find the same cells, or a cell has two lines.
+test('cached cells match freshly computed ones', () => {
+  // Backend servers come and go, and the number of cells changes with them. Two gateways that
+  // saw different intermediate numbers must compute the same cells; otherwise one cell would
+  // have two queues.
   const servers = backendServers.createBackendServers();
-  const split = cellMap.createCellMap();
+  const knownCells = cellMap.createCellMap();
   const expectSame = () =>
     assert.deepEqual(
-      cellMap.getServiceCells(split, servers, SERVICE, 0).cellByServer,
-      listAnew(servers),
+      cellMap.getServiceCells(knownCells, servers, SERVICE, 0).cellByServer,
+      computeUncached(servers),
     );
   addServers(servers, 0, 200);
   expectSame();
