--- a/packages/core/src/entry/admission.ts
+++ b/packages/core/src/entry/admission.ts
@@ -44,7 +44,7 @@
   return now + Math.min(asked, timing.maxDeadlineMs);
 }
 
-type Rights = { credential: schema.Credential; route: schema.Route };
+type Authorization = { credential: schema.Credential; route: schema.Route };
 
 /**
  * Refuses requests that wait without a place and whose credential a newer
@@ -76,7 +76,7 @@
     service.costs,
     className,
     arrived.payload.length,
-    arrived.answerTokensBound ?? 0,
+    arrived.maxAnswerTokens ?? 0,
     arrived.estimatedTokens,
   );
 }
@@ -85,7 +85,7 @@
 function buildRequest(
   state: entryState.EntryState,
   given: entryEvent.ArrivedRequest,
-  { credential, route }: Rights,
+  { credential, route }: Authorization,
   index: documentIndex.DocumentIndex,
   now: number,
 ): entryState.EntryRequest {
@@ -108,20 +108,20 @@
     target: undefined,
     claim: undefined,
     replaceable: [],
-    givenUp: undefined,
+    pendingFailure: undefined,
     claimRounds: 0,
-    claimWaived: false,
+    claimSkipped: false,
     refusedBy: new Set(),
     head: undefined,
-    collected: [],
+    bufferedParts: [],
     firstByteSent: false,
     className,
     reservedAt: new Set(),
-    askMoreMs: Infinity,
+    nextAskAtMs: Infinity,
     retryAtMs: 0,
-    earlierRun: schema.RunState.NOT_RUN,
-    unreachableBy: new Set(),
-    repeats: 0,
+    earlierRunState: schema.RunState.NOT_RUN,
+    deadlineRefusedBy: new Set(),
+    retries: 0,
     crashes: 0,
     startedMs: 0,
     answerTokens: 0,
@@ -169,7 +169,7 @@
 }
 
 /** Finds why a request with valid rights is not taken in now. */
-function findLimit(
+function findAdmissionLimit(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   index: documentIndex.DocumentIndex,
@@ -216,6 +216,6 @@
     return { kind: 'rejected', failure: keyFault };
   }
   const request = buildRequest(state, arrived, { credential, route }, index, now);
-  const limit = findLimit(state, request, index);
+  const limit = findAdmissionLimit(state, request, index);
   return limit === undefined ? { kind: 'admitted', request } : refuse(state, request, limit);
 }
--- a/packages/core/src/entry/agent-health.test.ts
+++ b/packages/core/src/entry/agent-health.test.ts
@@ -24,7 +24,7 @@
 nodeTest.test('a slow generation of engines is not an outlier', () => {
   const pool = makePool([100, 100, 100, 600, 600]);
   assert.equal(agentHealth.ejectOutlier(pool[4], pool, NOW), undefined);
-  const median = agentHealth.findMedianPace(pool, Stage.COMPLETION);
+  const median = agentHealth.findMedianRatio(pool, Stage.COMPLETION);
   assert.equal(agentHealth.estimateRatio(pool[4], median, NOW), 6);
 });
 
--- a/packages/core/src/entry/agent-links.ts
+++ b/packages/core/src/entry/agent-links.ts
@@ -2,7 +2,7 @@
 import * as schema from '@toucanproxy/schema';
 import * as documentStore from '../shared/document-store.js';
 import * as suspects from '../shared/suspects.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
@@ -57,7 +57,7 @@
   if (view === undefined || hello.backendServerId !== backendServerId) {
     return [{ kind: 'closeLink', backendServerId }];
   }
-  accounts.markLinked(state, view, now);
+  requestAccounting.markLinked(state, view, now);
   view.suspectsSent = 0;
   // What the platform's list said was of another life. The heartbeat that came
   // before this hello has told whether the present one leaves.
@@ -77,7 +77,7 @@
           ),
         ],
   );
-  const claims = keyClaim.sendWaiting(state, backendServerId);
+  const claims = keyClaim.sendPendingClaims(state, backendServerId);
   return [...resumes, ...claims, ...parking.retryParked(state, view, now)];
 }
 
@@ -100,7 +100,8 @@
   const conflict = documentStore.noteVersion(state.documents, heartbeat.document);
   const theirs = heartbeat.document?.version ?? 0;
   const newer = theirs > documentStore.getVersion(state.documents, view.service);
-  const due = newer && documentStore.noteNewerVersion(state.newerSeen, view.service, theirs, now);
+  const due =
+    newer && documentStore.noteNewerVersion(state.newerVersions, view.service, theirs, now);
   const request = schema.create(schema.DocumentRequestSchema, { service: view.service });
   const ask = due
     ? [entryMessages.sendToAgent(backendServerId, { case: 'documentRequest', value: request })]
@@ -167,7 +168,7 @@
   return [...state.agents.values()].flatMap((view): Effects => {
     const timing = entryState.getTiming(state, view.service);
     const waitsForPeer = view.linked || view.opening;
-    if (waitsForPeer && now - view.lastHeardMs > timing.heartbeatTimeoutMs) {
+    if (waitsForPeer && now - view.lastReceivedMs > timing.heartbeatTimeoutMs) {
       return linkOpening.abandonLink(state, view, now);
     }
     if (waitsForPeer && !linkOpening.isWanted(view, now)) {
--- a/packages/core/src/entry/observations.ts
+++ b/packages/core/src/entry/agent-measurements.ts
@@ -1,6 +1,6 @@
 /** Takes what this entry sees of its agents into their health. */
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as agentHealth from './agent-health.js';
 import * as candidates from './candidates.js';
 import * as costModel from './cost-model.js';
@@ -11,7 +11,7 @@
 type Effects = entryEvent.EntryEffect[];
 
 /** Ejects an agent whose health has become bad, and logs it. */
-function ejectWhereBad(
+function ejectIfUnhealthy(
   state: entryState.EntryState,
   agent: entryState.AgentView,
   now: number,
@@ -30,7 +30,7 @@
 }
 
 /** Finds the agent that holds a request. */
-function findAgent(
+function findServingAgent(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
 ): entryState.AgentView | undefined {
@@ -40,45 +40,45 @@
 }
 
 /** Notes how long a started request took to a stage. */
-export function noteDuration(
+export function recordDuration(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   stage: agentHealth.Stage,
   now: number,
 ): Effects {
-  const agent = findAgent(state, request);
+  const agent = findServingAgent(state, request);
   if (agent === undefined || request.startedMs === 0) {
     return [];
   }
-  const { durations } = accounts.getServiceOf(state, request);
+  const { durations } = requestAccounting.getRequestService(state, request);
   const { estimatedTokens } = request.arrived;
   const { className } = request;
   const ms = now - request.startedMs;
-  const usualMs = durationModel.getDuration(durations, stage, className, estimatedTokens);
+  const expectedMs = durationModel.estimateDuration(durations, stage, className, estimatedTokens);
   durationModel.recordDuration(durations, stage, className, estimatedTokens, ms);
-  if (usualMs === 0) {
+  if (expectedMs === 0) {
     return [];
   }
-  agentHealth.recordRatio(agent.health, stage, ms / usualMs, now);
-  return ejectWhereBad(state, agent, now);
+  agentHealth.recordRatio(agent.health, stage, ms / expectedMs, now);
+  return ejectIfUnhealthy(state, agent, now);
 }
 
 /** Notes that the agent of a request failed it. */
-export function noteFailure(
+export function recordFailure(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const agent = findAgent(state, request);
+  const agent = findServingAgent(state, request);
   if (agent === undefined) {
     return [];
   }
   agentHealth.recordFailure(agent.health);
-  return ejectWhereBad(state, agent, now);
+  return ejectIfUnhealthy(state, agent, now);
 }
 
 /** Learns what a request cost whose whole answer has come. */
-export function noteCompleted(
+export function recordCompletion(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
@@ -86,11 +86,11 @@
   if (request.target?.joined === true) {
     return [];
   }
-  const { costs } = accounts.getServiceOf(state, request);
-  costModel.recordAnswer(costs, request.className, request.answerTokens);
-  const agent = findAgent(state, request);
+  const { costs } = requestAccounting.getRequestService(state, request);
+  costModel.recordResponse(costs, request.className, request.answerTokens);
+  const agent = findServingAgent(state, request);
   if (agent !== undefined) {
     agentHealth.recordSuccess(agent.health);
   }
-  return noteDuration(state, request, agentHealth.Stage.COMPLETION, now);
+  return recordDuration(state, request, agentHealth.Stage.COMPLETION, now);
 }
--- a/packages/core/src/entry/asking.ts
+++ b/packages/core/src/entry/assignment.ts
@@ -2,19 +2,19 @@
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as suspects from '../shared/suspects.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
-import * as handOver from './hand-over.js';
+import * as attemptStart from './attempt-start.js';
 import * as outcomes from './outcomes.js';
-import * as prefixMemory from './prefix-memory.js';
-import * as reservationBook from './reservation-book.js';
+import * as prefixLocations from './prefix-locations.js';
+import * as reservations from './reservations.js';
 import * as retryBudget from '../shared/retry-budget.js';
 
 type Effects = entryEvent.EntryEffect[];
 
 /** Hands a waiting request to one agent. */
-export function giveTo(
+export function assignTo(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   agent: entryState.AgentView,
@@ -26,32 +26,32 @@
     const failure = outcomes.buildNotRun(schema.ResultCode.CONTENT_REFUSED);
     return outcomes.fail(state, request, failure, now);
   }
-  const service = accounts.getServiceOf(state, request);
+  const service = requestAccounting.getRequestService(state, request);
   if (request.attempts === 0) {
-    retryBudget.noteFirstAttempt(service.retries, now);
+    retryBudget.noteFirstAttempt(service.retryBudget, now);
   }
   service.placements += 1;
   const { backendServerId } = agent;
-  prefixMemory.recordPrefix(
+  prefixLocations.recordPrefix(
     service.prefixes,
     request.workspace,
     prefixHashes,
     backendServerId,
     now,
   );
-  accounts.endWaiting(state, request);
-  const released = reservationBook.releaseReservations(state, request, backendServerId);
-  const offered = handOver.offerTo(state, request, agent, now);
+  requestAccounting.endWaiting(state, request);
+  const released = reservations.releaseReservations(state, request, backendServerId);
+  const offered = attemptStart.offerTo(state, request, agent, now);
   // What is being claimed can no longer be taken back by a shed.
   if (request.status !== entryState.RequestStatus.OFFERED) {
-    accounts.endUnstarted(state, request);
+    requestAccounting.removeUnstarted(state, request);
   }
-  accounts.updateDue(state, request, now);
+  requestAccounting.updateDueTime(state, request, now);
   return [...released, ...offered];
 }
 
 /** Why one agent is asked without a choice among several. */
-export enum AskReason {
+export enum AssignmentReason {
   /** It has room for a request that waited for it. */
   ROOM = 'room',
   /** Less urgent work waits there, which it evicts. */
@@ -63,7 +63,7 @@
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   agent: entryState.AgentView,
-  reason: AskReason,
+  reason: AssignmentReason,
   now: number,
 ): Effects {
   const line = effect.logDecision('ask', {
@@ -75,8 +75,8 @@
     reason,
   });
   const asked =
-    state.policy.way.kind === 'push'
-      ? giveTo(state, request, agent, now)
-      : reservationBook.addReservation(request, agent);
+    state.policy.strategy.kind === 'push'
+      ? assignTo(state, request, agent, now)
+      : reservations.addReservation(request, agent);
   return [line, ...asked];
 }
--- a/packages/core/src/entry/answer-flow.ts
+++ b/packages/core/src/entry/attempt-reports.ts
@@ -1,7 +1,7 @@
 /** Follows an offered request through its agent's messages to the caller's answer. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as agentHealth from './agent-health.js';
 import * as costModel from './cost-model.js';
 import * as dispatch from './dispatch.js';
@@ -9,18 +9,18 @@
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
 import * as heldAttempts from './held-attempts.js';
-import * as observations from './observations.js';
+import * as agentMeasurements from './agent-measurements.js';
 import * as outcomes from './outcomes.js';
-import * as repeats from './repeats.js';
+import * as retries from './retries.js';
 import * as shedding from './shedding.js';
 
 type Effects = entryEvent.EntryEffect[];
-type Held = heldAttempts.Held;
+type HeldAttempt = heldAttempts.HeldAttempt;
 
 const EVENT_STREAM = 'text/event-stream';
 
 /** Refusals after which another agent may be asked. */
-const ELSEWHERE_CODES = new Set([
+const RETRY_ELSEWHERE_CODES = new Set([
   schema.ResultCode.QUEUE_FULL,
   schema.ResultCode.EVICTED,
   schema.ResultCode.SHUTTING_DOWN,
@@ -31,18 +31,18 @@
 ]);
 
 /** Applies a message to each request that waits for its attempt. */
-function applyToHeld(
+function applyToHeldAttempts(
   state: entryState.EntryState,
   backendServerId: string,
   ref: schema.AttemptRef | undefined,
-  apply: (held: Held) => Effects,
+  apply: (held: HeldAttempt) => Effects,
 ): Effects {
-  const held = heldAttempts.listHeld(state, backendServerId, ref);
-  return held.length === 0 ? dropOld() : held.flatMap(apply);
+  const held = heldAttempts.listHeldAttempts(state, backendServerId, ref);
+  return held.length === 0 ? dropStaleMessage() : held.flatMap(apply);
 }
 
 /** Counts a message that belongs to no present attempt. */
-export function dropOld(): Effects {
+export function dropStaleMessage(): Effects {
   return [effect.observe({ kind: 'dropped', reason: effect.DropReason.OLD_ATTEMPT })];
 }
 
@@ -67,7 +67,7 @@
 }
 
 /** Passes bytes on, or keeps them until an unstreamed answer is whole. */
-function passData(
+function forwardData(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   data: Uint8Array,
@@ -75,23 +75,23 @@
 ): Effects {
   const streamed = isStreamed(request);
   const first = request.answerTokens === 0;
-  request.answerTokens += costModel.countAnswerTokens(data, streamed);
-  const noted = first
-    ? observations.noteDuration(state, request, agentHealth.Stage.FIRST_BYTE, now)
+  request.answerTokens += costModel.countResponseTokens(data, streamed);
+  const recorded = first
+    ? agentMeasurements.recordDuration(state, request, agentHealth.Stage.FIRST_BYTE, now)
     : [];
   if (!streamed) {
-    request.collected.push(data);
-    return noted;
+    request.bufferedParts.push(data);
+    return recorded;
   }
   const { callerId } = request.arrived;
-  return [...noted, ...sendHead(request, now), { kind: 'answerData', callerId, data }];
+  return [...recorded, ...sendHead(request, now), { kind: 'answerData', callerId, data }];
 }
 
 /** Ends an answer whose every part has come. */
-function passEnd(state: entryState.EntryState, held: Held, now: number): Effects {
+function forwardEnd(state: entryState.EntryState, held: HeldAttempt, now: number): Effects {
   const { request, target } = held;
   const { callerId } = request.arrived;
-  const data = request.collected.map((bytes): entryEvent.EntryEffect => ({
+  const data = request.bufferedParts.map((bytes): entryEvent.EntryEffect => ({
     kind: 'answerData',
     callerId,
     data: bytes,
@@ -100,10 +100,10 @@
     target.backendServerId,
     entryMessages.buildAcknowledge(target),
   );
-  const noted = observations.noteCompleted(state, request, now);
+  const recorded = agentMeasurements.recordCompletion(state, request, now);
   return [
     acknowledge,
-    ...noted,
+    ...recorded,
     ...sendHead(request, now),
     ...data,
     ...outcomes.complete(state, request, now),
@@ -111,21 +111,21 @@
 }
 
 /** Takes the next part of an answer; doubled and skipping parts are dropped. */
-export function takePart(
+export function handlePart(
   state: entryState.EntryState,
   backendServerId: string,
   part: schema.AnswerPart,
   now: number,
 ): Effects {
-  return applyToHeld(state, backendServerId, part.ref, (held) =>
-    takeHeldPart(state, held, part, now),
+  return applyToHeldAttempts(state, backendServerId, part.ref, (held) =>
+    applyPart(state, held, part, now),
   );
 }
 
 /** Takes the next part for one request. */
-function takeHeldPart(
+function applyPart(
   state: entryState.EntryState,
-  held: Held,
+  held: HeldAttempt,
   part: schema.AnswerPart,
   now: number,
 ): Effects {
@@ -138,15 +138,15 @@
     return [effect.observe({ kind: 'dropped', reason })];
   }
   target.nextSequence += 1;
-  accounts.markStarted(state, request, now);
+  requestAccounting.markStarted(state, request, now);
   switch (part.content.case) {
     case 'head':
       request.head = part.content.value;
       return [];
     case 'data':
-      return passData(state, request, part.content.value, now);
+      return forwardData(state, request, part.content.value, now);
     case 'end':
-      return passEnd(state, held, now);
+      return forwardEnd(state, held, now);
     default:
       return [];
   }
@@ -159,7 +159,7 @@
   notRun: schema.NotRun,
   now: number,
 ): Effects {
-  return applyToHeld(state, backendServerId, notRun.ref, (held) =>
+  return applyToHeldAttempts(state, backendServerId, notRun.ref, (held) =>
     handleHeldNotRun(state, held, notRun, now),
   );
 }
@@ -167,24 +167,24 @@
 /** Places one request elsewhere, or tells its caller that it was not run. */
 function handleHeldNotRun(
   state: entryState.EntryState,
-  held: Held,
+  held: HeldAttempt,
   notRun: schema.NotRun,
   now: number,
 ): Effects {
   const { request, target } = held;
   // The deadline that a joined attempt missed was that of another call.
   if (notRun.code === schema.ResultCode.DEADLINE_UNREACHABLE && !target.joined) {
-    request.unreachableBy.add(target.backendServerId);
+    request.deadlineRefusedBy.add(target.backendServerId);
   }
-  const service = accounts.getServiceOf(state, request);
+  const service = requestAccounting.getRequestService(state, request);
   // It was taken back to make room, and the place that it leaves is for others.
-  const givesWay =
+  const isShedVictim =
     service.withdrawnIds.has(request.requestId) &&
-    !accounts.hasLessUrgent(service, request.tierRank);
-  if (givesWay && now < request.deadlineMs) {
+    !requestAccounting.hasLessUrgent(service, request.tierRank);
+  if (isShedVictim && now < request.deadlineMs) {
     return shedding.shed(state, request, now);
   }
-  if (ELSEWHERE_CODES.has(notRun.code) && now < request.deadlineMs) {
+  if (RETRY_ELSEWHERE_CODES.has(notRun.code) && now < request.deadlineMs) {
     return dispatch.placeAgain(state, request, now);
   }
   const code = now >= request.deadlineMs ? schema.ResultCode.DEADLINE_UNREACHABLE : notRun.code;
@@ -200,7 +200,7 @@
   failed: schema.RunFailed,
   now: number,
 ): Effects {
-  return applyToHeld(state, backendServerId, failed.ref, (held) =>
+  return applyToHeldAttempts(state, backendServerId, failed.ref, (held) =>
     handleHeldFailed(state, held, failed, now),
   );
 }
@@ -208,7 +208,7 @@
 /** Ends or repeats one request whose attempt did not complete. */
 function handleHeldFailed(
   state: entryState.EntryState,
-  held: Held,
+  held: HeldAttempt,
   failed: schema.RunFailed,
   now: number,
 ): Effects {
@@ -220,8 +220,8 @@
       ? outcomes.buildMayHaveRun(failed.code)
       : outcomes.buildRan(failed.code);
   return [
-    ...observations.noteFailure(state, held.request, now),
-    ...repeats.handleBrokenRun(state, held.request, failure, now),
+    ...agentMeasurements.recordFailure(state, held.request, now),
+    ...retries.handleFailedRun(state, held.request, failure, now),
   ];
 }
 
@@ -232,8 +232,8 @@
   started: schema.Started,
   now: number,
 ): Effects {
-  return applyToHeld(state, backendServerId, started.ref, ({ request }) => {
-    accounts.markStarted(state, request, now);
+  return applyToHeldAttempts(state, backendServerId, started.ref, ({ request }) => {
+    requestAccounting.markStarted(state, request, now);
     return [];
   });
 }
--- a/packages/core/src/entry/hand-over.ts
+++ b/packages/core/src/entry/attempt-start.ts
@@ -15,7 +15,7 @@
   agent: entryState.AgentView,
   now: number,
 ): entryEvent.EntryEffect[] {
-  if (request.arrived.key !== '' && !request.claimWaived) {
+  if (request.arrived.key !== '' && !request.claimSkipped) {
     return keyClaims.startBind(state, request, agent, now);
   }
   request.attempts += 1;
--- a/packages/core/src/entry/candidates.ts
+++ b/packages/core/src/entry/candidates.ts
@@ -4,7 +4,7 @@
 import * as durationModel from './duration-model.js';
 import * as entryState from './entry-state.js';
 import * as placement from './placement.js';
-import * as prefixMemory from './prefix-memory.js';
+import * as prefixLocations from './prefix-locations.js';
 
 /** Rough length of a token in bytes of text. */
 const BYTES_PER_TOKEN = 4;
@@ -41,7 +41,7 @@
   return listLinked(state, service).map((agent) => agent.health);
 }
 
-/** Finds where a prefix goes that nobody remembers, the same on every entry. */
+/** Finds where a prefix goes that noAgent remembers, the same on every entry. */
 function findPreferred(
   request: entryState.EntryRequest,
   agents: readonly entryState.AgentView[],
@@ -63,18 +63,18 @@
 ): placement.Candidate[] {
   const { service, prefixHashes, payload, estimatedTokens } = request.arrived;
   const { prefixes, durations } = entryState.getService(state, service);
-  const match = prefixMemory.findPrefix(prefixes, request.workspace, prefixHashes, now);
+  const match = prefixLocations.findPrefix(prefixes, request.workspace, prefixHashes, now);
   const preferred = findPreferred(request, agents);
   const peers = listPeerHealth(state, service);
   const { COMPLETION } = agentHealth.Stage;
-  const median = agentHealth.findMedianPace(peers, COMPLETION);
-  const usualMs = durationModel.getDuration(
+  const median = agentHealth.findMedianRatio(peers, COMPLETION);
+  const expectedMs = durationModel.estimateDuration(
     durations,
     COMPLETION,
     request.className,
     estimatedTokens,
   );
-  const paceMs = usualMs / Math.max(estimatedTokens, 1);
+  const msPerToken = expectedMs / Math.max(estimatedTokens, 1);
   return agents.map((agent) => {
     const { load, backendServerId } = agent;
     const promptTokens = payload.length / BYTES_PER_TOKEN;
@@ -87,7 +87,7 @@
       queuedTokens: load?.queuedTokens ?? 0,
       tokensPerSecond: load?.tokensPerSecond ?? 0,
       cachedTokens: Math.min(known, promptTokens),
-      paceMs: paceMs * agentHealth.estimateRatio(agent.health, median, now),
+      msPerToken: msPerToken * agentHealth.estimateRatio(agent.health, median, now),
       trafficShare: agentHealth.computeTrafficShare(agent.health, now),
       preferred: backendServerId === preferred,
     };
--- a/packages/core/src/entry/cost-model.ts
+++ b/packages/core/src/entry/cost-model.ts
@@ -14,7 +14,7 @@
 const LINE_FEED = 10;
 
 /** Takes in the length of a whole answer, tokens. */
-export function recordAnswer(model: CostModel, className: string, answerTokens: number): void {
+export function recordResponse(model: CostModel, className: string, answerTokens: number): void {
   const average = model.get(className) ?? { answerTokens: 0, samples: 0 };
   average.samples += 1;
   const weight = Math.max(1 / average.samples, SETTLED_WEIGHT);
@@ -26,13 +26,13 @@
  * Estimates prompt and answer together, tokens.
  *
  * @param fallback the estimate where nothing has been learned
- * @param answerBound the caller's own bound on the answer; 0 where it gave none
+ * @param maxAnswerTokens the caller's own bound on the answer; 0 where it gave none
  */
 export function estimateTokens(
   model: CostModel,
   className: string,
   promptBytes: number,
-  answerBound: number,
+  maxAnswerTokens: number,
   fallback: number,
 ): number {
   const average = model.get(className);
@@ -40,7 +40,7 @@
     return fallback;
   }
   const answer =
-    answerBound > 0 ? Math.min(average.answerTokens, answerBound) : average.answerTokens;
+    maxAnswerTokens > 0 ? Math.min(average.answerTokens, maxAnswerTokens) : average.answerTokens;
   return Math.ceil(promptBytes / BYTES_PER_TOKEN + answer);
 }
 
@@ -57,6 +57,6 @@
 }
 
 /** Counts the tokens in a piece of an answer: engines send an event for each. */
-export function countAnswerTokens(data: Uint8Array, streamed: boolean): number {
+export function countResponseTokens(data: Uint8Array, streamed: boolean): number {
   return streamed ? countBlankLines(data) : data.length / BYTES_PER_TOKEN;
 }
--- a/packages/core/src/entry/deadlines.ts
+++ b/packages/core/src/entry/deadlines.ts
@@ -1,19 +1,19 @@
 /** What happens when something is due for a request, or its caller has gone. */
 import * as schema from '@toucanproxy/schema';
 import * as priorityHeap from '../shared/priority-heap.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as dispatch from './dispatch.js';
 import * as entryEvent from './entry-event.js';
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
 import * as heldAttempts from './held-attempts.js';
-import * as observations from './observations.js';
+import * as agentMeasurements from './agent-measurements.js';
 import * as outcomes from './outcomes.js';
 import * as shedding from './shedding.js';
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Tells the agent that nobody waits for an attempt any more, where that is so. */
+/** Tells the agent that noAgent waits for an attempt any more, where that is so. */
 function sendCancel(state: entryState.EntryState, target: entryState.Target): Effects {
   return heldAttempts.isShared(state, target)
     ? []
@@ -21,7 +21,7 @@
 }
 
 /** Gives up an overdue attempt. */
-function endOffer(
+function failOffer(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   target: entryState.Target,
@@ -33,8 +33,8 @@
     ? outcomes.buildRan(schema.ResultCode.DEADLINE_EXCEEDED)
     : outcomes.buildMayHaveRun(schema.ResultCode.LINK_LOST);
   const cancel = sendCancel(state, target);
-  const noted = observations.noteFailure(state, request, now);
-  return [...cancel, ...noted, ...outcomes.fail(state, request, failure, now)];
+  const recorded = agentMeasurements.recordFailure(state, request, now);
+  return [...cancel, ...recorded, ...outcomes.fail(state, request, failure, now)];
 }
 
 /** Asks the agent what became of an overdue attempt, or gives up waiting for it. */
@@ -46,12 +46,12 @@
 ): Effects {
   const asked = target.withdrawnMs !== 0;
   // A joined attempt belongs to another call, whose time may not be up.
-  const waits = !asked || now - target.withdrawnMs < accounts.WITHDRAW_GRACE_MS;
+  const waits = !asked || now - target.withdrawnMs < requestAccounting.WITHDRAW_GRACE_MS;
   if (target.started || target.joined || !waits) {
-    return endOffer(state, request, target, now);
+    return failOffer(state, request, target, now);
   }
   target.withdrawnMs = target.withdrawnMs || now;
-  accounts.updateDue(state, request, now);
+  requestAccounting.updateDueTime(state, request, now);
   return asked
     ? []
     : [entryMessages.sendToAgent(target.backendServerId, entryMessages.buildWithdraw(target))];
@@ -66,7 +66,7 @@
   if (request.target !== undefined) {
     return handleOverdueOffer(state, request, request.target, now);
   }
-  const service = accounts.getServiceOf(state, request);
+  const service = requestAccounting.getRequestService(state, request);
   const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
   const code = schema.ResultCode.DEADLINE_UNREACHABLE;
   return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
@@ -82,13 +82,13 @@
     return handleOverdue(state, request, now);
   }
   const waits = request.status === entryState.RequestStatus.WAITING;
-  if (waits && (now >= request.askMoreMs || request.retryAtMs > 0)) {
-    request.askMoreMs = Infinity;
+  if (waits && (now >= request.nextAskAtMs || request.retryAtMs > 0)) {
+    request.nextAskAtMs = Infinity;
     request.retryAtMs = 0;
-    accounts.updateDue(state, request, now);
+    requestAccounting.updateDueTime(state, request, now);
     return dispatch.place(state, request, now);
   }
-  accounts.updateDue(state, request, now);
+  requestAccounting.updateDueTime(state, request, now);
   return [];
 }
 
--- a/packages/core/src/entry/dispatch.ts
+++ b/packages/core/src/entry/dispatch.ts
@@ -1,19 +1,19 @@
 /** Finds agents for requests that wait. */
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
-import * as asking from './asking.js';
+import * as requestAccounting from './request-accounting.js';
+import * as assignment from './assignment.js';
 import * as candidates from './candidates.js';
 import * as entryEvent from './entry-event.js';
 import * as entryPolicy from './entry-policy.js';
 import * as entryState from './entry-state.js';
 import * as parking from './parking.js';
 import * as placement from './placement.js';
-import * as reservationBook from './reservation-book.js';
+import * as reservations from './reservations.js';
 import * as shedding from './shedding.js';
 
 type Effects = entryEvent.EntryEffect[];
-type WayOf<K extends entryPolicy.PlacementWay['kind']> = Extract<
-  entryPolicy.PlacementWay,
+type StrategyOf<K extends entryPolicy.PlacementStrategy['kind']> = Extract<
+  entryPolicy.PlacementStrategy,
   { kind: K }
 >;
 
@@ -46,7 +46,7 @@
 ): placement.PlacementContext {
   return {
     drawRandom: state.policy.drawRandom,
-    serial: accounts.getServiceOf(state, request).placements,
+    serial: requestAccounting.getRequestService(state, request).placements,
     estimatedTokens: request.arrived.estimatedTokens,
   };
 }
@@ -55,47 +55,47 @@
 function pushRequest(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
-  open: readonly entryState.AgentView[],
-  way: WayOf<'push'>,
+  eligible: readonly entryState.AgentView[],
+  strategy: StrategyOf<'push'>,
   now: number,
 ): Effects {
-  if (open.length === 0) {
+  if (eligible.length === 0) {
     return parking.waitForRoom(state, request, now);
   }
-  const considered = candidates.listCandidates(state, request, open, now);
-  const chosen = way.choose(considered, buildContext(state, request));
-  const agent = open.find((one) => one.backendServerId === chosen.backendServerId);
+  const considered = candidates.listCandidates(state, request, eligible, now);
+  const chosen = strategy.choose(considered, buildContext(state, request));
+  const agent = eligible.find((one) => one.backendServerId === chosen.backendServerId);
   if (agent === undefined) {
     return [];
   }
   const line = logPlacement('placement', request, considered, [chosen.backendServerId]);
-  return [line, ...asking.giveTo(state, request, agent, now)];
+  return [line, ...assignment.assignTo(state, request, agent, now)];
 }
 
 /** Asks agents for a place; one more than before where some were asked already. */
 function reservePlaces(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
-  open: readonly entryState.AgentView[],
-  way: WayOf<'reserve'>,
+  eligible: readonly entryState.AgentView[],
+  strategy: StrategyOf<'reserve'>,
   now: number,
 ): Effects {
-  if (open.length === 0) {
-    request.askMoreMs = Infinity;
-    accounts.updateDue(state, request, now);
+  if (eligible.length === 0) {
+    request.nextAskAtMs = Infinity;
+    requestAccounting.updateDueTime(state, request, now);
     return request.reservedAt.size > 0 ? [] : parking.waitForRoom(state, request, now);
   }
-  const considered = candidates.listCandidates(state, request, open, now);
-  const count = Math.max(way.askCount - request.reservedAt.size, 1);
-  const { asked, waitMs } = way.plan(considered, buildContext(state, request), count);
+  const considered = candidates.listCandidates(state, request, eligible, now);
+  const count = Math.max(strategy.reservationCount - request.reservedAt.size, 1);
+  const { asked, waitMs } = strategy.plan(considered, buildContext(state, request), count);
   const ids = asked.map((one) => one.backendServerId);
-  request.askMoreMs = now + waitMs;
-  accounts.updateDue(state, request, now);
+  request.nextAskAtMs = now + waitMs;
+  requestAccounting.updateDueTime(state, request, now);
   return [
     logPlacement('ask', request, considered, ids),
-    ...open
+    ...eligible
       .filter((agent) => ids.includes(agent.backendServerId))
-      .flatMap((agent) => reservationBook.addReservation(request, agent)),
+      .flatMap((agent) => reservations.addReservation(request, agent)),
   ];
 }
 
@@ -106,33 +106,37 @@
   now: number,
 ): Effects {
   const { service } = request.arrived;
-  if (entryState.isBehind(state, service, now)) {
-    accounts.addParked(state, request, now);
-    request.askMoreMs = now + parking.ASK_MORE_MS;
-    accounts.updateDue(state, request, now);
+  if (entryState.isDocumentOutdated(state, service, now)) {
+    requestAccounting.addParked(state, request, now);
+    request.nextAskAtMs = now + parking.ASK_MORE_MS;
+    requestAccounting.updateDueTime(state, request, now);
     return [];
   }
   const usable = candidates.listUsable(state, service, now);
   if (usable.length === 0) {
     return parking.handleNoAgent(state, request, now);
   }
-  const { way } = state.policy;
-  const open = usable.filter(
+  const { strategy } = state.policy;
+  const eligible = usable.filter(
     ({ backendServerId: id }) => !request.refusedBy.has(id) && !request.reservedAt.has(id),
   );
-  return way.kind === 'push'
-    ? pushRequest(state, request, open, way, now)
-    : reservePlaces(state, request, parking.listWithRoom(state, open, request), way, now);
+  return strategy.kind === 'push'
+    ? pushRequest(state, request, eligible, strategy, now)
+    : reservePlaces(state, request, parking.listWithRoom(state, eligible, request), strategy, now);
 }
 
-/** Takes in a new request: what gives way for it is decided first. */
+/** Takes in a new request: what gives strategy for it is decided first. */
 export function placeNew(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  accounts.addRequest(state, request, now);
-  const shed = shedding.shedOverflow(state, accounts.getServiceOf(state, request), now);
+  requestAccounting.addRequest(state, request, now);
+  const shed = shedding.shedOverflow(
+    state,
+    requestAccounting.getRequestService(state, request),
+    now,
+  );
   const placed = isIdle(state, request) ? place(state, request, now) : [];
   return [...shed, ...placed];
 }
@@ -153,9 +157,9 @@
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  beginAgain(state, request, now);
+  resetToWaiting(state, request, now);
   return [
-    ...shedding.shedOverflow(state, accounts.getServiceOf(state, request), now),
+    ...shedding.shedOverflow(state, requestAccounting.getRequestService(state, request), now),
     ...(isIdle(state, request) ? place(state, request, now) : []),
   ];
 }
@@ -170,7 +174,7 @@
 }
 
 /** Puts a request back to waiting, without its last target. */
-export function beginAgain(
+export function resetToWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
@@ -179,9 +183,9 @@
     request.refusedBy.add(request.target.backendServerId);
     request.replaceable.push(request.target.ref);
   }
-  accounts.getServiceOf(state, request).withdrawnIds.delete(request.requestId);
-  accounts.releaseTarget(state, request);
+  requestAccounting.getRequestService(state, request).withdrawnIds.delete(request.requestId);
+  requestAccounting.releaseTarget(state, request);
   request.head = undefined;
-  request.collected = [];
-  accounts.beginWaiting(state, request, now);
+  request.bufferedParts = [];
+  requestAccounting.beginWaiting(state, request, now);
 }
--- a/packages/core/src/entry/duration-model.ts
+++ b/packages/core/src/entry/duration-model.ts
@@ -17,18 +17,18 @@
 const MIN_SAMPLES = 5;
 
 /** Builds the key of requests of one class and about the same cost. */
-function toKind(stage: string, className: string, tokens: number): string {
+function toClassKey(stage: string, className: string, tokens: number): string {
   return `${stage} ${className} ${Math.floor(Math.log2(Math.max(tokens, 1)))}`;
 }
 
 /** Gets the usual time, milliseconds; 0 while too little is known. */
-export function getDuration(
+export function estimateDuration(
   model: DurationModel,
   stage: string,
   className: string,
   tokens: number,
 ): number {
-  const known = model.get(toKind(stage, className, tokens));
+  const known = model.get(toClassKey(stage, className, tokens));
   return known !== undefined && known.samples >= MIN_SAMPLES ? known.ms : 0;
 }
 
@@ -40,7 +40,7 @@
   tokens: number,
   ms: number,
 ): void {
-  const kind = toKind(stage, className, tokens);
+  const kind = toClassKey(stage, className, tokens);
   const known = model.get(kind) ?? { ms: 0, samples: 0 };
   known.samples += 1;
   known.ms += Math.max(1 / known.samples, SETTLED_WEIGHT) * (ms - known.ms);
--- a/packages/core/src/entry/entry-event.ts
+++ b/packages/core/src/entry/entry-event.ts
@@ -26,7 +26,7 @@
   /** Hashes of leading pieces of the prompt, the shortest first; each piece is twice as long. */
   prefixHashes: number[];
   /** The caller's own bound on the answer, tokens; 0 or absent where it gave none. */
-  answerTokensBound?: number;
+  maxAnswerTokens?: number;
 };
 
 export type EntryEvent =
--- a/packages/core/src/entry/entry-state.ts
+++ b/packages/core/src/entry/entry-state.ts
@@ -58,30 +58,30 @@
   /** Attempts of its key that were confirmed as not run, or may be repeated. */
   replaceable: schema.AttemptRef[];
   /** Why it was given up, while its key is being closed. */
-  givenUp: outcomes.Failure | undefined;
+  pendingFailure: outcomes.Failure | undefined;
   claimRounds: number;
   /** Its homes could not decide; it may be repeated and goes on without. */
-  claimWaived: boolean;
+  claimSkipped: boolean;
   /** Backend servers that refused the request since it began to wait. */
   refusedBy: Set<string>;
   head: schema.AnswerHead | undefined;
   /** Parts of an answer that is not streamed, until it is whole. */
-  collected: Uint8Array[];
+  bufferedParts: Uint8Array[];
   firstByteSent: boolean;
   /** Class of its cost: route and tier. */
   className: string;
   /** Backend servers that were asked for a place and have not refused. */
   reservedAt: Set<string>;
   /** When one more backend server is asked, milliseconds since the Unix epoch. */
-  askMoreMs: number;
+  nextAskAtMs: number;
   /** Pause before a repeat ends at this time; 0 where there is none. */
   retryAtMs: number;
   /** What is known of the attempts before the present one. */
-  earlierRun: schema.RunState;
+  earlierRunState: schema.RunState;
   /** Backend servers that cannot end it in time, as they said since it began to wait. */
-  unreachableBy: Set<string>;
+  deadlineRefusedBy: Set<string>;
   /** Attempts that were repeated after a run. */
-  repeats: number;
+  retries: number;
   /** Attempts during which an engine crashed. */
   crashes: number;
   /** When the present attempt started; 0 where that is not known. */
@@ -111,7 +111,7 @@
   listedLeaving: boolean;
   /** The life that the list was first seen to name; undefined while it names none. */
   listedLife: string | undefined;
-  lastHeardMs: number;
+  lastReceivedMs: number;
   lastSentMs: number;
   heartbeatsSent: number;
   load: schema.AgentLoad | undefined;
@@ -128,7 +128,7 @@
   /** One of the links that this entry keeps; others are opened on demand. */
   kept: boolean;
   /** When a link on demand was last needed, milliseconds; 0 if never. */
-  neededMs: number;
+  lastNeededMs: number;
 };
 
 /** What is left to do for a request once the present event has been applied. */
@@ -151,7 +151,7 @@
   /** Requests that read the answer of another call's attempt, by its reference. */
   joins: Map<string, Set<string>>;
   /** The newest version that a peer has shown, by service. */
-  newerSeen: documentStore.NewerVersions;
+  newerVersions: documentStore.NewerVersions;
   /** When this process first saw a backend server declared gone, milliseconds. */
   goneSeenMs: Map<string, number>;
   agents: Map<string, AgentView>;
@@ -187,7 +187,7 @@
     claiming: new Set(),
     followUps: [],
     joins: new Map(),
-    newerSeen: new Map(),
+    newerVersions: new Map(),
     goneSeenMs: new Map(),
     agents: new Map(),
     services: new Map(),
@@ -220,8 +220,8 @@
  * configuration service. It places nothing by it while a peer is sending the
  * newer one; bounded, since the newer one may be faulty for this process.
  */
-export function isBehind(state: EntryState, service: string, now: number): boolean {
-  const newer = state.newerSeen.get(service);
+export function isDocumentOutdated(state: EntryState, service: string, now: number): boolean {
+  const newer = state.newerVersions.get(service);
   const version = documentStore.getVersion(state.documents, service);
   const waits = newer !== undefined && newer.version > version;
   return waits && now - newer.firstSeenMs <= documentStore.DOCUMENT_REPLY_TIMEOUT_MS;
--- a/packages/core/src/entry/grants.ts
+++ b/packages/core/src/entry/grants.ts
@@ -2,12 +2,12 @@
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as agentHealth from './agent-health.js';
-import * as asking from './asking.js';
+import * as assignment from './assignment.js';
 import * as candidates from './candidates.js';
 import * as dispatch from './dispatch.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
-import * as reservationBook from './reservation-book.js';
+import * as reservations from './reservations.js';
 
 type Effects = entryEvent.EntryEffect[];
 
@@ -36,13 +36,13 @@
 }
 
 /** Takes a reservation as refused and asks further agents where none is left. */
-function handleNoPlace(
+function handleSlotRefused(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   backendServerId: string,
   now: number,
 ): Effects {
-  reservationBook.removeReservation(state, request, backendServerId);
+  reservations.removeReservation(state, request, backendServerId);
   request.refusedBy.add(backendServerId);
   return dispatch.place(state, request, now);
 }
@@ -62,12 +62,12 @@
   const agent = state.agents.get(backendServerId);
   const request = findWaiting(state, grant.requestId, now);
   if (agent === undefined || request === undefined) {
-    return [reservationBook.sendRelease(backendServerId, grant.requestId)];
+    return [reservations.sendRelease(backendServerId, grant.requestId)];
   }
   if (isUnwanted(request, agent, now)) {
     return [
-      reservationBook.sendRelease(backendServerId, grant.requestId),
-      ...handleNoPlace(state, request, backendServerId, now),
+      reservations.sendRelease(backendServerId, grant.requestId),
+      ...handleSlotRefused(state, request, backendServerId, now),
     ];
   }
   const line = effect.logDecision('placement', {
@@ -79,11 +79,11 @@
     chosen: [backendServerId],
     waitedMs: now - request.arrivedMs,
   });
-  return [line, ...asking.giveTo(state, request, agent, now)];
+  return [line, ...assignment.assignTo(state, request, agent, now)];
 }
 
 /** Notes that an agent has no room for a tier, until its next report. */
-function noteFull(
+function markFull(
   state: entryState.EntryState,
   agent: entryState.AgentView,
   tierRank: number,
@@ -106,16 +106,16 @@
     return [effect.observe({ kind: 'dropped', reason: effect.DropReason.UNKNOWN_REQUEST })];
   }
   if (refused.code === schema.ResultCode.DEADLINE_UNREACHABLE) {
-    request.unreachableBy.add(backendServerId);
+    request.deadlineRefusedBy.add(backendServerId);
   }
   const agent = state.agents.get(backendServerId);
   if (agent !== undefined && FULL_CODES.has(refused.code)) {
-    noteFull(state, agent, request.tierRank);
+    markFull(state, agent, request.tierRank);
   }
   const line = effect.logDecision('reserve-refused', {
     request: request.requestId,
     backendServer: backendServerId,
     result: schema.ResultCode[refused.code],
   });
-  return [line, ...handleNoPlace(state, request, backendServerId, now)];
+  return [line, ...handleSlotRefused(state, request, backendServerId, now)];
 }
--- a/packages/core/src/entry/handle-entry-event.ts
+++ b/packages/core/src/entry/handle-entry-event.ts
@@ -3,11 +3,11 @@
 import * as documentIndex from '../shared/document-index.js';
 import * as documentStore from '../shared/document-store.js';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as suspects from '../shared/suspects.js';
 import * as admission from './admission.js';
 import * as agentLinks from './agent-links.js';
-import * as answerFlow from './answer-flow.js';
+import * as attemptReports from './attempt-reports.js';
 import * as deadlines from './deadlines.js';
 import * as dispatch from './dispatch.js';
 import * as entryEvent from './entry-event.js';
@@ -41,7 +41,7 @@
   }
   const { request } = decision;
   if (decision.kind === 'closing') {
-    accounts.addRequest(state, request, now);
+    requestAccounting.addRequest(state, request, now);
     return outcomes.fail(state, request, decision.failure, now);
   }
   return dispatch.placeNew(state, request, now);
@@ -51,7 +51,7 @@
  * Tells whether a message is a sign of room at its agent. A refusal is none: a
  * request that waits would be sent again at once, and be refused again.
  */
-function isSignOfRoom({ body }: schema.AgentMessage): boolean {
+function isCapacityFreed({ body }: schema.AgentMessage): boolean {
   switch (body.case) {
     case 'failed':
       return true;
@@ -72,7 +72,7 @@
 ): Effects {
   const effects = routeAgentMessage(state, event, now);
   const view = state.agents.get(event.backendServerId);
-  return isSignOfRoom(event.message) && view !== undefined
+  return isCapacityFreed(event.message) && view !== undefined
     ? [...effects, ...parking.retryParked(state, view, now, 1)]
     : effects;
 }
@@ -87,7 +87,7 @@
   const { body } = event.message;
   const view = state.agents.get(id);
   if (view !== undefined) {
-    view.lastHeardMs = now;
+    view.lastReceivedMs = now;
   }
   switch (body.case) {
     case 'hello':
@@ -95,13 +95,13 @@
     case 'heartbeat':
       return agentLinks.handleHeartbeat(state, id, body.value, now);
     case 'part':
-      return answerFlow.takePart(state, id, body.value, now);
+      return attemptReports.handlePart(state, id, body.value, now);
     case 'started':
-      return answerFlow.handleStarted(state, id, body.value, now);
+      return attemptReports.handleStarted(state, id, body.value, now);
     case 'notRun':
-      return answerFlow.handleNotRun(state, id, body.value, now);
+      return attemptReports.handleNotRun(state, id, body.value, now);
     case 'failed':
-      return answerFlow.handleRunFailed(state, id, body.value, now);
+      return attemptReports.handleRunFailed(state, id, body.value, now);
     case 'grant':
       return grants.handleGrant(state, id, body.value, now);
     case 'reserveRefused':
@@ -162,7 +162,7 @@
 }
 
 /** What is done for a request after the event that called for it. */
-const FOLLOW_UPS = {
+const FOLLOW_UP_HANDLERS = {
   place: dispatch.placeAgain,
   ask: dispatch.askAgain,
   close: keyClaims.startClose,
@@ -175,7 +175,7 @@
   while (next !== undefined) {
     const request = state.requests.get(next.requestId);
     if (request !== undefined) {
-      effects.push(...FOLLOW_UPS[next.kind](state, request, now));
+      effects.push(...FOLLOW_UP_HANDLERS[next.kind](state, request, now));
     }
     next = state.followUps.shift();
   }
@@ -216,7 +216,7 @@
     case 'documentRead':
       return applyDocument(state, event, now);
     case 'vmsLeaving':
-      membership.markListed(state, event.addresses);
+      membership.applyLeavingList(state, event.addresses);
       return [];
     case 'ticked':
       return handleTick(state, now);
--- a/packages/core/src/entry/held-attempts.ts
+++ b/packages/core/src/entry/held-attempts.ts
@@ -3,20 +3,20 @@
 import * as attemptRef from '../shared/attempt-ref.js';
 import type * as entryState from './entry-state.js';
 
-export type Held = { request: entryState.EntryRequest; target: entryState.Target };
+export type HeldAttempt = { request: entryState.EntryRequest; target: entryState.Target };
 
 /** Lists the requests whose present attempt on this agent a message is about. */
-export function listHeld(
+export function listHeldAttempts(
   state: entryState.EntryState,
   backendServerId: string,
   ref: schema.AttemptRef | undefined,
-): Held[] {
+): HeldAttempt[] {
   if (ref === undefined) {
     return [];
   }
   const refKey = attemptRef.toRefKey(ref);
   const joined = state.joins.get(refKey) ?? [];
-  return [...new Set([ref.requestId, ...joined])].flatMap((requestId): Held[] => {
+  return [...new Set([ref.requestId, ...joined])].flatMap((requestId): HeldAttempt[] => {
     const request = state.requests.get(requestId);
     const target = request?.target;
     // A message of an earlier attempt, or from another agent, may come late
@@ -36,7 +36,7 @@
  * would cut the answer of the others.
  */
 export function isShared(state: entryState.EntryState, target: entryState.Target): boolean {
-  return listHeld(state, target.backendServerId, target.ref).length > 1;
+  return listHeldAttempts(state, target.backendServerId, target.ref).length > 1;
 }
 
 /** Notes that a request reads the answer of another call's attempt. */
--- a/packages/core/src/entry/index.ts
+++ b/packages/core/src/entry/index.ts
@@ -12,4 +12,4 @@
 export * from './handle-entry-event.js';
 export * from './link-selection.js';
 export * from './placement.js';
-export { FIRST_PREFIX_TOKENS } from './prefix-memory.js';
+export { FIRST_PREFIX_TOKENS } from './prefix-locations.js';
--- a/packages/core/src/entry/key-claim.ts
+++ b/packages/core/src/entry/key-claim.ts
@@ -104,7 +104,7 @@
 }
 
 /** Sends the questions that waited for a home's link. */
-export function sendWaiting(state: entryState.EntryState, homeId: string): Effects {
+export function sendPendingClaims(state: entryState.EntryState, homeId: string): Effects {
   return [...state.claiming].flatMap((requestId): Effects => {
     const request = state.requests.get(requestId);
     const claim = request?.claim;
@@ -116,7 +116,7 @@
 }
 
 /** Notes that a home's link is gone: a question without an answer is sent again over the next. */
-export function noteHomeLost(state: entryState.EntryState, homeId: string): void {
+export function resetUnansweredClaims(state: entryState.EntryState, homeId: string): void {
   state.claiming.forEach((requestId) => {
     const claim = state.requests.get(requestId)?.claim;
     if (claim?.homes[claim.index] === homeId) {
--- a/packages/core/src/entry/key-claims.test.ts
+++ b/packages/core/src/entry/key-claims.test.ts
@@ -59,7 +59,7 @@
 });
 
 nodeTest.test('entry killed between claim and offer', () => {
-  // The entry dies with the key bound and its offer on the way. The resend asks
+  // The entry dies with the key bound and its offer on the strategy. The resend asks
   // the agent, which refuses the offer from then on, so the resend may take the
   // binding over; the late offer starts nothing.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
@@ -94,7 +94,7 @@
 });
 
 nodeTest.test('home restarted between claim and offer', () => {
-  // The home forgets the binding while the offer is on its way. It cannot tell
+  // The home forgets the binding while the offer is on its strategy. It cannot tell
   // a resend whether the key was bound, so the resend is not dispatched.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
--- a/packages/core/src/entry/key-claims.ts
+++ b/packages/core/src/entry/key-claims.ts
@@ -44,7 +44,7 @@
   }
   claim.sent = false;
   claim.askedMs = now;
-  return [...linkOpening.openNeeded(home, now), ...keyClaim.sendClaim(state, request, claim)];
+  return [...linkOpening.openOnDemand(home, now), ...keyClaim.sendClaim(state, request, claim)];
 }
 
 /** Begins to ask the homes of a key. */
@@ -117,8 +117,8 @@
 ): Effects {
   const released = dropClaim(request);
   request.status = entryState.RequestStatus.CLOSING;
-  const nobody = { backendServerId: '', agentLife: '' };
-  return [...released, ...startClaim(state, request, keyClaim.ClaimPurpose.CLOSE, nobody, now)];
+  const noAgent = { backendServerId: '', agentLife: '' };
+  return [...released, ...startClaim(state, request, keyClaim.ClaimPurpose.CLOSE, noAgent, now)];
 }
 
 /** Puts a request back to waiting for a place. */
@@ -139,7 +139,7 @@
 ): Effects {
   const line = keyClaim.logClaim(request, 'granted');
   if (claim.purpose === keyClaim.ClaimPurpose.CLOSE) {
-    const failure = request.givenUp ?? outcomes.buildNotRun(schema.ResultCode.CANCELLED);
+    const failure = request.pendingFailure ?? outcomes.buildNotRun(schema.ResultCode.CANCELLED);
     return [line, ...outcomes.endFailed(state, request, failure, now)];
   }
   const agent = state.agents.get(claim.backendServerId);
@@ -169,7 +169,7 @@
 ): Effects {
   const line = keyClaim.logClaim(request, 'undecided');
   if (request.repeatable) {
-    request.claimWaived = true;
+    request.claimSkipped = true;
     return [line, ...placeAgain(state, request)];
   }
   const failure = {
@@ -180,7 +180,7 @@
 }
 
 /** Gives up a call that came before its key was closed, and closes its other homes too. */
-function acceptClosed(
+function handleClosed(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   claim: keyClaim.KeyClaim,
@@ -192,19 +192,19 @@
   }
   const { clockSkewMs } = entryState.getTiming(state, request.arrived.service);
   // A call that comes within the skew after the close would be refused again.
-  request.givenUp = outcomes.buildNotRun(schema.ResultCode.CANCELLED, 2 * clockSkewMs);
+  request.pendingFailure = outcomes.buildNotRun(schema.ResultCode.CANCELLED, 2 * clockSkewMs);
   return startClose(state, request, now);
 }
 
 /** Joins the attempt that the key is bound to. */
-function acceptBound(
+function handleBound(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   claim: keyClaim.KeyClaim,
   reply: schema.ClaimReply,
   now: number,
 ): Effects {
-  const join = keyJoins.readJoin(state, reply, now);
+  const join = keyJoins.parseJoin(state, reply, now);
   if (join === undefined || now >= request.deadlineMs) {
     return endUndecided(state, request, now);
   }
@@ -226,7 +226,7 @@
     return [];
   }
   request.claim = undefined;
-  request.givenUp = undefined;
+  request.pendingFailure = undefined;
   state.claiming.delete(request.requestId);
   return keyJoins.startJoin(state, request, join.target, now);
 }
@@ -261,9 +261,9 @@
       claim.index += 1;
       return claimAtHome(state, request, claim, now);
     case schema.ClaimOutcome.CLOSED:
-      return acceptClosed(state, request, claim, now);
+      return handleClosed(state, request, claim, now);
     case schema.ClaimOutcome.BOUND:
-      return acceptBound(state, request, claim, reply, now);
+      return handleBound(state, request, claim, reply, now);
     case schema.ClaimOutcome.EXPIRED: {
       const failure = outcomes.buildMayHaveRun(schema.ResultCode.KEY_EXPIRED);
       return refuseKey(state, request, failure, now);
--- a/packages/core/src/entry/key-joins.ts
+++ b/packages/core/src/entry/key-joins.ts
@@ -20,8 +20,8 @@
 /** A join that waits until the bound attempt has had time to be offered. */
 export type PendingJoin = { target: entryState.Target; dueMs: number };
 
-/** Reads the attempt to join from a home's answer; undefined where nobody can be asked for it. */
-export function readJoin(
+/** Reads the attempt to join from a home's answer; undefined where noAgent can be asked for it. */
+export function parseJoin(
   state: entryState.EntryState,
   reply: schema.ClaimReply,
   now: number,
@@ -59,5 +59,5 @@
   // Where the link is still to open, the agent's hello brings the question.
   const body = entryMessages.buildResume(request, target);
   const resume = agent.linked ? [entryMessages.sendToAgent(agent.backendServerId, body)] : [];
-  return [...linkOpening.openNeeded(agent, now), ...resume];
+  return [...linkOpening.openOnDemand(agent, now), ...resume];
 }
--- a/packages/core/src/entry/link-opening.ts
+++ b/packages/core/src/entry/link-opening.ts
@@ -1,19 +1,19 @@
 /** Opens and gives up links: those that are kept, and those that a claim or a join needs. */
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import type * as entryState from './entry-state.js';
 import * as keyClaim from './key-claim.js';
 
 /** Pause before a link that failed is opened again, milliseconds. */
 const REOPEN_MIN_MS = 100;
-const REOPEN_SPREAD_MS = 400;
+const REOPEN_JITTER_MS = 400;
 
 /** How long a link on demand stays open after it was last needed, milliseconds. */
-const IDLE_MS = 3000;
+const ON_DEMAND_IDLE_MS = 3000;
 
 /** Tells whether a link is to be open now. */
 export function isWanted(view: entryState.AgentView, now: number): boolean {
-  const needed = view.neededMs > 0 && now - view.neededMs <= IDLE_MS;
+  const needed = view.lastNeededMs > 0 && now - view.lastNeededMs <= ON_DEMAND_IDLE_MS;
   return view.kept || view.heldIds.size > 0 || needed;
 }
 
@@ -24,14 +24,14 @@
     return [];
   }
   view.opening = true;
-  view.lastHeardMs = now;
+  view.lastReceivedMs = now;
   const { backendServerId, address } = view;
   return [{ kind: 'openLink', backendServerId, address }];
 }
 
 /** Notes that a link is needed and opens it where it is not open. */
-export function openNeeded(view: entryState.AgentView, now: number): entryEvent.EntryEffect[] {
-  view.neededMs = now;
+export function openOnDemand(view: entryState.AgentView, now: number): entryEvent.EntryEffect[] {
+  view.lastNeededMs = now;
   return openIfWanted(view, now);
 }
 
@@ -43,9 +43,9 @@
 ): entryEvent.EntryEffect[] {
   const view = state.agents.get(backendServerId);
   if (view !== undefined) {
-    accounts.markUnlinked(state, view, now);
-    keyClaim.noteHomeLost(state, backendServerId);
-    view.nextOpenMs = now + REOPEN_MIN_MS + state.policy.drawRandom() * REOPEN_SPREAD_MS;
+    requestAccounting.markUnlinked(state, view, now);
+    keyClaim.resetUnansweredClaims(state, backendServerId);
+    view.nextOpenMs = now + REOPEN_MIN_MS + state.policy.drawRandom() * REOPEN_JITTER_MS;
   }
   return [];
 }
--- a/packages/core/src/entry/link-selection.test.ts
+++ b/packages/core/src/entry/link-selection.test.ts
@@ -6,7 +6,7 @@
 const ENTRIES = 410;
 
 /** Builds agents spread over the failure domains. */
-function buildAgents(count: number): linkSelection.Linkable[] {
+function buildAgents(count: number): linkSelection.LinkCandidate[] {
   return Array.from({ length: count }, (_, index) => ({
     backendServerId: `runner-${index}`,
     failureDomain: DOMAINS[index % DOMAINS.length],
@@ -14,7 +14,7 @@
 }
 
 /** Counts the entries that each agent has, without those of one failure domain. */
-function countEntries(agents: linkSelection.Linkable[], links: number, lost = ''): number[] {
+function countEntries(agents: linkSelection.LinkCandidate[], links: number, lost = ''): number[] {
   const counts = new Map(agents.map((agent) => [agent.backendServerId, 0]));
   Array.from({ length: ENTRIES }, (_, index) => index).forEach((index) => {
     const domain = DOMAINS[index % DOMAINS.length];
--- a/packages/core/src/entry/link-selection.ts
+++ b/packages/core/src/entry/link-selection.ts
@@ -13,7 +13,7 @@
 export const DEFAULT_LINKS_PER_SERVICE = 32;
 
 /** Of the links, one in this many goes to other failure domains. */
-const FAR_SHARE = 4;
+const REMOTE_LINK_DIVISOR = 4;
 
 /**
  * Computes the links kept for each of several services, so that the heartbeats
@@ -25,7 +25,7 @@
 }
 
 /** What the choice looks at. */
-export type Linkable = { backendServerId: string; failureDomain: string };
+export type LinkCandidate = { backendServerId: string; failureDomain: string };
 
 /**
  * Selects the agents to keep links to: most in the entry's own failure domain,
@@ -36,15 +36,15 @@
 export function selectLinks(
   entryId: string,
   failureDomain: string,
-  agents: readonly Linkable[],
+  agents: readonly LinkCandidate[],
   count: number,
 ): string[] {
   const ids = agents.map((agent) => agent.backendServerId);
   const domains = new Map(agents.map((agent) => [agent.backendServerId, agent.failureDomain]));
   const ranked = rendezvous.rankByRendezvous(entryId, ids);
-  const near = ranked.filter((id) => domains.get(id) === failureDomain);
-  const far = ranked.filter((id) => domains.get(id) !== failureDomain);
-  const farWanted = Math.max(Math.ceil(count / FAR_SHARE), count - near.length);
-  const farTaken = far.slice(0, farWanted);
-  return [...near.slice(0, count - farTaken.length), ...farTaken];
+  const local = ranked.filter((id) => domains.get(id) === failureDomain);
+  const remote = ranked.filter((id) => domains.get(id) !== failureDomain);
+  const remoteWanted = Math.max(Math.ceil(count / REMOTE_LINK_DIVISOR), count - local.length);
+  const remoteChosen = remote.slice(0, remoteWanted);
+  return [...local.slice(0, count - remoteChosen.length), ...remoteChosen];
 }
--- a/packages/core/src/entry/membership.ts
+++ b/packages/core/src/entry/membership.ts
@@ -9,7 +9,7 @@
 type Effects = entryEvent.EntryEffect[];
 
 /** Makes the view of a backend server that a document names for the first time. */
-function makeView(service: string, server: schema.BackendServer): entryState.AgentView {
+function createView(service: string, server: schema.BackendServer): entryState.AgentView {
   return {
     backendServerId: server.id,
     service,
@@ -24,14 +24,14 @@
     reportedLeaving: false,
     listedLeaving: false,
     listedLife: undefined,
-    lastHeardMs: 0,
+    lastReceivedMs: 0,
     lastSentMs: 0,
     heartbeatsSent: 0,
     load: undefined,
     outstandingTokens: 0,
     nextOpenMs: 0,
     kept: false,
-    neededMs: 0,
+    lastNeededMs: 0,
     heldIds: new Set(),
     reservedIds: new Set(),
     health: agentHealth.createAgentHealth(),
@@ -50,7 +50,7 @@
   now: number,
 ): Effects {
   const known = state.agents.get(server.id);
-  const view = known ?? makeView(service, server);
+  const view = known ?? createView(service, server);
   const moved = view.address !== server.address && (view.linked || view.opening);
   view.address = server.address;
   view.failureDomain = server.failureDomain;
@@ -74,7 +74,7 @@
     applyBackendServer(state, document.service, server, now),
   );
   const named = new Set(document.backendServers.map((server) => server.id));
-  const views = listOfService(state, document.service);
+  const views = listServiceAgents(state, document.service);
   views
     .filter((view) => !named.has(view.backendServerId))
     .forEach((view) => {
@@ -82,7 +82,7 @@
       view.kept = false;
       updateLeaving(view);
     });
-  keepLinks(
+  updateKeptLinks(
     state,
     views.filter((view) => named.has(view.backendServerId)),
   );
@@ -90,7 +90,7 @@
 }
 
 /** Lists the views of one service. */
-function listOfService(state: entryState.EntryState, service: string): entryState.AgentView[] {
+function listServiceAgents(state: entryState.EntryState, service: string): entryState.AgentView[] {
   return [...state.agents.values()].filter((view) => view.service === service);
 }
 
@@ -105,7 +105,7 @@
  * The list lags: it may still name the life before the present one. A life that
  * began after the list was first seen to name its VM is taken at its own word.
  */
-export function markListed(state: entryState.EntryState, addresses: readonly string[]): void {
+export function applyLeavingList(state: entryState.EntryState, addresses: readonly string[]): void {
   const listed = new Set(addresses);
   state.agents.forEach((view) => {
     const isListed = listed.has(view.address);
@@ -123,13 +123,14 @@
  * Marks the links that this entry keeps for a service. One to an agent that
  * leaves is kept until the agent closes it, without counting for the choice.
  */
-function keepLinks(state: entryState.EntryState, views: entryState.AgentView[]): void {
+function updateKeptLinks(state: entryState.EntryState, views: entryState.AgentView[]): void {
   const staying = views.filter((view) => !view.documentLeaving);
   const { entryId, failureDomain, linksPerService } = state;
   const chosen = linkSelection.selectLinks(entryId, failureDomain, staying, linksPerService);
   const kept = new Set(chosen);
   views.forEach((view) => {
-    const drains = view.kept && view.documentLeaving && !state.goneSeenMs.has(view.backendServerId);
-    view.kept = drains || kept.has(view.backendServerId);
+    const isDraining =
+      view.kept && view.documentLeaving && !state.goneSeenMs.has(view.backendServerId);
+    view.kept = isDraining || kept.has(view.backendServerId);
   });
 }
--- a/packages/core/src/entry/mocks/entry-bench.ts
+++ b/packages/core/src/entry/mocks/entry-fixture.ts
@@ -7,7 +7,7 @@
 
 export const SERVICE = 'brimwit';
 
-export type Bench = {
+export type Fixture = {
   state: entryState.EntryState;
   now: number;
   nextCallerId: number;
@@ -20,7 +20,7 @@
 type Received = schema.AgentMessage['body'];
 type Fields<T> = Partial<Omit<T, '$typeName' | '$unknown'>>;
 
-export type BenchOptions = {
+export type FixtureOptions = {
   agents: string[];
   policy?: entryPolicy.EntryPolicy;
   limits?: Fields<schema.Limits>;
@@ -28,38 +28,38 @@
   busy?: boolean;
 };
 
-/** Applies one event at the bench's present time. */
-export function handle(bench: Bench, event: entryEvent.EntryEvent): entryEvent.EntryEffect[] {
-  const effects = handleEntryEvent.handleEntryEvent(bench.state, event, bench.now);
-  bench.effects.push(...effects);
+/** Applies one event at the fixture's present time. */
+export function handle(fixture: Fixture, event: entryEvent.EntryEvent): entryEvent.EntryEffect[] {
+  const effects = handleEntryEvent.handleEntryEvent(fixture.state, event, fixture.now);
+  fixture.effects.push(...effects);
   return effects;
 }
 
 /** Passes time and applies a tick. */
-export function advance(bench: Bench, ms: number): entryEvent.EntryEffect[] {
-  bench.now += ms;
-  return handle(bench, { kind: 'ticked' });
+export function advance(fixture: Fixture, ms: number): entryEvent.EntryEffect[] {
+  fixture.now += ms;
+  return handle(fixture, { kind: 'ticked' });
 }
 
 /** Hands in one message of an agent. */
 export function receive(
-  bench: Bench,
+  fixture: Fixture,
   backendServerId: string,
   body: Received,
 ): entryEvent.EntryEffect[] {
   const message = schema.create(schema.AgentMessageSchema, { body });
-  return handle(bench, { kind: 'agentMessage', backendServerId, message });
+  return handle(fixture, { kind: 'agentMessage', backendServerId, message });
 }
 
 /** Opens the link of an agent. */
-export function openLink(bench: Bench, backendServerId: string): entryEvent.EntryEffect[] {
+export function openLink(fixture: Fixture, backendServerId: string): entryEvent.EntryEffect[] {
   const fields = { backendServerId, agentLife: `life-${backendServerId}` };
   const value = schema.create(schema.AgentHelloSchema, fields);
-  return receive(bench, backendServerId, { case: 'hello', value });
+  return receive(fixture, backendServerId, { case: 'hello', value });
 }
 
 /** Builds a document of two tiers and two workspaces. */
-export function buildDocument(version: number, options: BenchOptions): schema.ServiceDocument {
+export function buildDocument(version: number, options: FixtureOptions): schema.ServiceDocument {
   return schema.create(schema.ServiceDocumentSchema, {
     service: SERVICE,
     version,
@@ -75,24 +75,27 @@
 }
 
 /** Creates an entry with a document of two tiers and its links open. */
-export function createBench(options: BenchOptions): Bench {
+export function createFixture(options: FixtureOptions): Fixture {
   const policy = options.policy ?? entryPolicy.createLateBindingPolicy(() => 0.5);
   const identity = { entryId: 'entry-1', life: 'e1', failureDomain: 'suva-loft' };
   const state = entryState.createEntryState(identity, policy);
-  const bench: Bench = { state, now: 1_000_000, nextCallerId: 1, effects: [] };
+  const fixture: Fixture = { state, now: 1_000_000, nextCallerId: 1, effects: [] };
   const document = buildDocument(1, options);
-  handle(bench, { kind: 'documentRead', stored: { document, json: '{}' } });
-  options.agents.forEach((id) => openLink(bench, id));
+  handle(fixture, { kind: 'documentRead', stored: { document, json: '{}' } });
+  options.agents.forEach((id) => openLink(fixture, id));
   if (options.busy === true) {
-    options.agents.forEach((id) => report(bench, id, { queued: 1, queuedTokens: 100 }));
+    options.agents.forEach((id) => report(fixture, id, { queued: 1, queuedTokens: 100 }));
   }
-  return bench;
+  return fixture;
 }
 
 /** Lets a caller's request arrive and gets its caller id. */
-export function sendRequest(bench: Bench, fields: Partial<entryEvent.ArrivedRequest> = {}): number {
-  const callerId = bench.nextCallerId;
-  bench.nextCallerId += 1;
+export function sendRequest(
+  fixture: Fixture,
+  fields: Partial<entryEvent.ArrivedRequest> = {},
+): number {
+  const callerId = fixture.nextCallerId;
+  fixture.nextCallerId += 1;
   const request = {
     callerId,
     service: SERVICE,
@@ -108,13 +111,13 @@
     prefixHashes: [],
     ...fields,
   };
-  handle(bench, { kind: 'requestArrived', request });
+  handle(fixture, { kind: 'requestArrived', request });
   return callerId;
 }
 
 /** Gets the id of a caller's request. */
-export function getRequestId(bench: Bench, callerId: number): string {
-  return bench.state.requestByCaller.get(callerId) ?? '';
+export function getRequestId(fixture: Fixture, callerId: number): string {
+  return fixture.state.requestByCaller.get(callerId) ?? '';
 }
 
 /** Lists the messages of one kind that were sent, with whom they went to. */
@@ -131,43 +134,43 @@
 }
 
 /** Lists whom a request's place was asked of. */
-export function listAsked(bench: Bench, callerId: number): string[] {
-  const requestId = getRequestId(bench, callerId);
-  return listSent(bench.effects, 'reserve')
+export function listAsked(fixture: Fixture, callerId: number): string[] {
+  const requestId = getRequestId(fixture, callerId);
+  return listSent(fixture.effects, 'reserve')
     .filter((sent) => sent.value.requestId === requestId)
     .map((sent) => sent.to);
 }
 
 /** Finds the failure that a caller was told. */
 export function findFailure(
-  bench: Bench,
+  fixture: Fixture,
   callerId: number,
 ): Extract<entryEvent.EntryEffect, { kind: 'answerFailure' }> | undefined {
-  return bench.effects
+  return fixture.effects
     .filter((effect) => effect.kind === 'answerFailure')
     .find((effect) => effect.callerId === callerId);
 }
 
 /** Lets an agent grant a place. */
-export function grant(bench: Bench, from: string, requestId: string): entryEvent.EntryEffect[] {
+export function grant(fixture: Fixture, from: string, requestId: string): entryEvent.EntryEffect[] {
   const value = schema.create(schema.GrantSchema, { requestId, holdMs: 200 });
-  return receive(bench, from, { case: 'grant', value });
+  return receive(fixture, from, { case: 'grant', value });
 }
 
 /** Lets an agent refuse a place. */
 export function refuse(
-  bench: Bench,
+  fixture: Fixture,
   from: string,
   requestId: string,
   code = schema.ResultCode.QUEUE_FULL,
 ): entryEvent.EntryEffect[] {
   const value = schema.create(schema.ReserveRefusedSchema, { requestId, code });
-  return receive(bench, from, { case: 'reserveRefused', value });
+  return receive(fixture, from, { case: 'reserveRefused', value });
 }
 
 /** Lets an agent report its load. */
 export function report(
-  bench: Bench,
+  fixture: Fixture,
   from: string,
   load: Fields<schema.AgentLoad>,
   suspects: Fields<schema.Suspect>[] = [],
@@ -176,7 +179,7 @@
     load: schema.create(schema.AgentLoadSchema, load),
     suspects: suspects.map((one) => schema.create(schema.SuspectSchema, one)),
   });
-  return receive(bench, from, { case: 'heartbeat', value });
+  return receive(fixture, from, { case: 'heartbeat', value });
 }
 
 /** Builds the reference of an attempt. */
@@ -185,14 +188,14 @@
 }
 
 /** Lets an agent start an attempt. */
-export function start(bench: Bench, from: string, requestId: string, attempt = 1): void {
+export function start(fixture: Fixture, from: string, requestId: string, attempt = 1): void {
   const value = schema.create(schema.StartedSchema, { ref: buildRef(requestId, attempt) });
-  receive(bench, from, { case: 'started', value });
+  receive(fixture, from, { case: 'started', value });
 }
 
 /** Lets an agent report that a started attempt broke. */
 export function fail(
-  bench: Bench,
+  fixture: Fixture,
   from: string,
   requestId: string,
   code: schema.ResultCode,
@@ -200,11 +203,16 @@
 ): void {
   const ref = buildRef(requestId, attempt);
   const value = schema.create(schema.RunFailedSchema, { ref, code });
-  receive(bench, from, { case: 'failed', value });
+  receive(fixture, from, { case: 'failed', value });
 }
 
 /** Lets an agent answer a started attempt whole. */
-export function complete(bench: Bench, from: string, requestId: string, data: Uint8Array): void {
+export function complete(
+  fixture: Fixture,
+  from: string,
+  requestId: string,
+  data: Uint8Array,
+): void {
   const contents: schema.AnswerPart['content'][] = [
     { case: 'head', value: schema.create(schema.AnswerHeadSchema, { status: 200 }) },
     { case: 'data', value: data },
@@ -213,17 +221,17 @@
   contents.forEach((content, sequence) => {
     const ref = buildRef(requestId);
     const value = schema.create(schema.AnswerPartSchema, { ref, sequence, content });
-    receive(bench, from, { case: 'part', value });
+    receive(fixture, from, { case: 'part', value });
   });
 }
 
 /** Lets an agent confirm that an attempt never ran. */
 export function reportNotRun(
-  bench: Bench,
+  fixture: Fixture,
   from: string,
   requestId: string,
   code = schema.ResultCode.QUEUE_FULL,
 ): void {
   const value = schema.create(schema.NotRunSchema, { ref: buildRef(requestId), code });
-  receive(bench, from, { case: 'notRun', value });
+  receive(fixture, from, { case: 'notRun', value });
 }
--- a/packages/core/src/entry/offering.ts
+++ b/packages/core/src/entry/offering.ts
@@ -1,6 +1,6 @@
 /** Sends offers. From here on only the agent says what became of the attempt. */
 import * as schema from '@toucanproxy/schema';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
@@ -12,7 +12,7 @@
   target: entryState.Target,
 ): void {
   request.status = entryState.RequestStatus.OFFERED;
-  accounts.addTarget(state, request, target);
+  requestAccounting.addTarget(state, request, target);
 }
 
 /** Offers a request to one agent under an attempt number that is its own. */
--- a/packages/core/src/entry/outcomes.ts
+++ b/packages/core/src/entry/outcomes.ts
@@ -1,10 +1,10 @@
 /** Ends requests. Every request ends here, once. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
-import * as reservationBook from './reservation-book.js';
+import * as reservations from './reservations.js';
 
 type Effects = entryEvent.EntryEffect[];
 
@@ -25,7 +25,7 @@
   return { code, runState: schema.RunState.RAN, retryAfterMs: 0 };
 }
 
-/** Builds a failure where nobody can say whether the request was started. */
+/** Builds a failure where noAgent can say whether the request was started. */
 export function buildMayHaveRun(code: schema.ResultCode): Failure {
   return { code, runState: schema.RunState.MAY_HAVE_RUN, retryAfterMs: 0 };
 }
@@ -43,7 +43,7 @@
 
 /** Says what is known of a request, of its earlier attempts and of its key. */
 function computeRunState(request: entryState.EntryRequest, failure: Failure): schema.RunState {
-  const known = mergeRunStates(request.earlierRun, failure.runState);
+  const known = mergeRunStates(request.earlierRunState, failure.runState);
   // The key of a repeatable request is not closed: another call with it may
   // run, and "not run" would be wrong for what the caller thinks of as one.
   const open = request.repeatable && request.arrived.key !== '';
@@ -51,19 +51,19 @@
 }
 
 /** Ends the waiting of a request: its reservations are released. */
-export function endWaiting(
+export function stopWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
 ): Effects {
-  accounts.endWaiting(state, request);
-  accounts.endUnstarted(state, request);
-  return reservationBook.releaseReservations(state, request);
+  requestAccounting.endWaiting(state, request);
+  requestAccounting.removeUnstarted(state, request);
+  return reservations.releaseReservations(state, request);
 }
 
 /** Takes a request out of the state. */
 function forget(state: entryState.EntryState, request: entryState.EntryRequest): Effects {
-  const released = endWaiting(state, request);
-  accounts.removeRequest(state, request);
+  const released = stopWaiting(state, request);
+  requestAccounting.removeRequest(state, request);
   return released;
 }
 
@@ -103,11 +103,11 @@
   if (request.target !== undefined) {
     request.replaceable.push(request.target.ref);
   }
-  accounts.releaseTarget(state, request);
+  requestAccounting.releaseTarget(state, request);
   request.status = entryState.RequestStatus.CLOSING;
-  request.givenUp = failure;
+  request.pendingFailure = failure;
   state.followUps.push({ kind: 'close', requestId: request.requestId });
-  return endWaiting(state, request);
+  return stopWaiting(state, request);
 }
 
 /** Ends a request with a failure. */
@@ -156,7 +156,7 @@
   ];
 }
 
-/** Ends a request whose caller has gone; there is nobody to answer. */
+/** Ends a request whose caller has gone; there is noAgent to answer. */
 export function abandon(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/parking.ts
+++ b/packages/core/src/entry/parking.ts
@@ -2,8 +2,8 @@
 import * as schema from '@toucanproxy/schema';
 import * as startQueue from '../shared/start-queue.js';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
-import * as asking from './asking.js';
+import * as requestAccounting from './request-accounting.js';
+import * as assignment from './assignment.js';
 import * as candidates from './candidates.js';
 import * as queueThroughput from '../shared/queue-throughput.js';
 import * as entryEvent from './entry-event.js';
@@ -18,7 +18,7 @@
 /** Wait for the grant of an agent that had room before others are asked, milliseconds. */
 export const ASK_MORE_MS = 500;
 /** Requests that one sign of room at an agent wakes, at most. */
-const MAX_WOKEN = 32;
+const MAX_WOKEN_REQUESTS = 32;
 
 /** Lets a request wait until an agent has room, where that can be in time. */
 export function waitForRoom(
@@ -26,17 +26,17 @@
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const service = accounts.getServiceOf(state, request);
-  const ahead = accounts.estimateTokensAhead(state, request);
-  const waitMs = queueThroughput.estimateWaitMs(service.drain, ahead);
+  const service = requestAccounting.getRequestService(state, request);
+  const ahead = requestAccounting.estimateTokensAhead(state, request);
+  const waitMs = queueThroughput.estimateWaitMs(service.throughput, ahead);
   const unreachable =
-    request.refusedBy.size > 0 && request.unreachableBy.size >= request.refusedBy.size;
+    request.refusedBy.size > 0 && request.deadlineRefusedBy.size >= request.refusedBy.size;
   if (unreachable || now + waitMs >= request.deadlineMs) {
     const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
     const code = schema.ResultCode.DEADLINE_UNREACHABLE;
     return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
   }
-  accounts.addParked(state, request, now);
+  requestAccounting.addParked(state, request, now);
   const line = effect.logDecision('parked', {
     request: request.requestId,
     service: service.service,
@@ -63,15 +63,15 @@
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const service = accounts.getServiceOf(state, request);
+  const service = requestAccounting.getRequestService(state, request);
   if (!isOpening(state, service.service, now)) {
     const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
     const code = schema.ResultCode.NO_BACKEND_SERVER;
     return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
   }
-  accounts.addParked(state, request, now);
-  request.askMoreMs = service.lastLinkedMs + LINK_GRACE_MS;
-  accounts.updateDue(state, request, now);
+  requestAccounting.addParked(state, request, now);
+  request.nextAskAtMs = service.lastLinkedMs + LINK_GRACE_MS;
+  requestAccounting.updateDueTime(state, request, now);
   return shedding.shedOverflow(state, service, now);
 }
 
@@ -113,12 +113,12 @@
   leastRoom = 0,
 ): Effects {
   const usable = candidates.listUsable(state, agent.service, now).includes(agent);
-  if (!usable || entryState.isBehind(state, agent.service, now)) {
+  if (!usable || entryState.isDocumentOutdated(state, agent.service, now)) {
     return [];
   }
   const { parked } = entryState.getService(state, agent.service);
   const effects: Effects = [];
-  for (let woken = 0; woken < MAX_WOKEN; woken += 1) {
+  for (let woken = 0; woken < MAX_WOKEN_REQUESTS; woken += 1) {
     const item = startQueue.findNext(parked);
     const request = item && state.requests.get(item.id);
     if (item === undefined || request === undefined) {
@@ -129,10 +129,12 @@
     }
     startQueue.takeItem(parked, item);
     request.refusedBy.delete(agent.backendServerId);
-    request.unreachableBy.delete(agent.backendServerId);
-    request.askMoreMs = now + ASK_MORE_MS;
-    accounts.updateDue(state, request, now);
-    effects.push(...asking.askAgent(state, request, agent, asking.AskReason.ROOM, now));
+    request.deadlineRefusedBy.delete(agent.backendServerId);
+    request.nextAskAtMs = now + ASK_MORE_MS;
+    requestAccounting.updateDueTime(state, request, now);
+    effects.push(
+      ...assignment.askAgent(state, request, agent, assignment.AssignmentReason.ROOM, now),
+    );
   }
   return effects;
 }
--- a/packages/core/src/entry/placement.test.ts
+++ b/packages/core/src/entry/placement.test.ts
@@ -1,6 +1,6 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
-import * as entryBench from './mocks/entry-bench.js';
+import * as entryFixture from './mocks/entry-fixture.js';
 import * as placement from './placement.js';
 
 function makeCandidate(
@@ -15,7 +15,7 @@
     queuedTokens: 0,
     tokensPerSecond: 1000,
     cachedTokens: 0,
-    paceMs: 0,
+    msPerToken: 0,
     trafficShare: 1,
     preferred: false,
     ...fields,
@@ -34,14 +34,14 @@
     makeCandidate('b', { outstandingTokens: 500, reportedTokens: 20 }),
     makeCandidate('c', { outstandingTokens: 900, tokensPerSecond: 9000, reportedTokens: 30 }),
   ];
-  assert.equal(placement.chooseInTurn(candidates, CONTEXT).backendServerId, 'b');
-  assert.equal(placement.chooseBetterOfTwo(candidates, CONTEXT).backendServerId, 'a');
+  assert.equal(placement.chooseRoundRobin(candidates, CONTEXT).backendServerId, 'b');
+  assert.equal(placement.choosePowerOfTwoChoices(candidates, CONTEXT).backendServerId, 'a');
   assert.equal(placement.chooseLeastOutstanding(candidates, CONTEXT).backendServerId, 'c');
 });
 
 nodeTest.test('the least delay is asked, slow and returning ones last', () => {
   const candidates = [
-    makeCandidate('slow', { paceMs: 3, queued: 1 }),
+    makeCandidate('slow', { msPerToken: 3, queued: 1 }),
     makeCandidate('back', { trafficShare: 0.1, queued: 1 }),
     makeCandidate('busy', { queuedTokens: 4000, queued: 1 }),
     makeCandidate('idle', { queued: 1 }),
@@ -72,27 +72,30 @@
 });
 
 nodeTest.test('a prefix goes back to where it was sent, within its workspace', () => {
-  const bench = entryBench.createBench({ agents: ['a', 'b', 'c', 'd', 'e'], busy: true });
+  const fixture = entryFixture.createFixture({ agents: ['a', 'b', 'c', 'd', 'e'], busy: true });
   const payload = new Uint8Array(4000);
   const long = { payload, prefixHashes: [11, 22], estimatedTokens: 1100 };
-  const first = entryBench.sendRequest(bench, long);
-  const [, holder] = entryBench.listAsked(bench, first);
-  const id = entryBench.getRequestId(bench, first);
-  entryBench.grant(bench, holder, id);
-  entryBench.complete(bench, holder, id, new Uint8Array(8));
-  const same = entryBench.sendRequest(bench, long);
-  assert.deepEqual(entryBench.listAsked(bench, same), [holder]);
-  entryBench.advance(bench, 500);
-  assert.ok(entryBench.listAsked(bench, same).length > 1);
-  const other = entryBench.sendRequest(bench, { ...long, tokenSha256: 'band-stall' });
-  assert.equal(entryBench.listAsked(bench, other).length, 3);
+  const first = entryFixture.sendRequest(fixture, long);
+  const [, holder] = entryFixture.listAsked(fixture, first);
+  const id = entryFixture.getRequestId(fixture, first);
+  entryFixture.grant(fixture, holder, id);
+  entryFixture.complete(fixture, holder, id, new Uint8Array(8));
+  const same = entryFixture.sendRequest(fixture, long);
+  assert.deepEqual(entryFixture.listAsked(fixture, same), [holder]);
+  entryFixture.advance(fixture, 500);
+  assert.ok(entryFixture.listAsked(fixture, same).length > 1);
+  const other = entryFixture.sendRequest(fixture, { ...long, tokenSha256: 'band-stall' });
+  assert.equal(entryFixture.listAsked(fixture, other).length, 3);
 });
 
 nodeTest.test('entries that do not know a prefix meet at one backend server', () => {
   const agents = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
   const asked = [1, 2, 3, 4].map(() => {
-    const bench = entryBench.createBench({ agents, busy: true });
-    return entryBench.listAsked(bench, entryBench.sendRequest(bench, { prefixHashes: [7] }));
+    const fixture = entryFixture.createFixture({ agents, busy: true });
+    return entryFixture.listAsked(
+      fixture,
+      entryFixture.sendRequest(fixture, { prefixHashes: [7] }),
+    );
   });
   const shared = agents.filter((agent) => asked.every((list) => list.includes(agent)));
   assert.ok(shared.length >= 1);
--- a/packages/core/src/entry/placement.ts
+++ b/packages/core/src/entry/placement.ts
@@ -16,10 +16,10 @@
   /** Prompt tokens of the request that are likely to be in its prefix cache. */
   cachedTokens: number;
   /** Time that a request takes there for each token, as seen by this entry; 0 while unknown. */
-  paceMs: number;
+  msPerToken: number;
   /** Share of its usual traffic that it may get, above 0; below 1 after an ejection. */
   trafficShare: number;
-  /** Where this prefix goes when nobody remembers it, the same on every entry. */
+  /** Where this prefix goes when noAgent remembers it, the same on every entry. */
   preferred: boolean;
 };
 
@@ -39,18 +39,18 @@
 ) => Candidate;
 
 /** Which backend servers are asked for a place now, and when more are asked. */
-export type AskPlan = {
+export type ReservationPlan = {
   asked: Candidate[];
   /** Time to wait for a grant before one more is asked, milliseconds. */
   waitMs: number;
 };
 
 /** Plans whom to ask; candidates have not been asked for this request yet. */
-export type PlanAsks = (
+export type PlanReservations = (
   candidates: readonly Candidate[],
   context: PlacementContext,
   count: number,
-) => AskPlan;
+) => ReservationPlan;
 
 /** Speed assumed until one has been measured, tokens per second. */
 const ASSUMED_TOKENS_PER_SECOND = 1000;
@@ -59,7 +59,7 @@
 /** Wait for a grant before one more backend server is asked, milliseconds. */
 const ASK_MORE_MS = 500;
 /** Wait for one that seems to have room before others are asked, milliseconds. */
-const FIRST_ASK_MS = 10;
+const MIN_IDLE_WAIT_MS = 10;
 /** Shortest wait for the backend server that has the prefix, milliseconds. */
 const MIN_AFFINITY_WAIT_MS = 20;
 
@@ -84,7 +84,9 @@
   const aheadMs = (ahead / getSpeed(candidate)) * MS_PER_SECOND;
   const own = Math.max(estimatedTokens - candidate.cachedTokens, 0);
   const ownMs =
-    candidate.paceMs > 0 ? own * candidate.paceMs : (own / getSpeed(candidate)) * MS_PER_SECOND;
+    candidate.msPerToken > 0
+      ? own * candidate.msPerToken
+      : (own / getSpeed(candidate)) * MS_PER_SECOND;
   return (aheadMs + ownMs) / candidate.trafficShare;
 }
 
@@ -101,7 +103,7 @@
 }
 
 /** Chooses in turn. */
-export function chooseInTurn(
+export function chooseRoundRobin(
   candidates: readonly Candidate[],
   context: PlacementContext,
 ): Candidate {
@@ -109,7 +111,7 @@
 }
 
 /** Chooses the better of two drawn at random, by the load that they reported. */
-export function chooseBetterOfTwo(
+export function choosePowerOfTwoChoices(
   candidates: readonly Candidate[],
   context: PlacementContext,
 ): Candidate {
@@ -140,7 +142,7 @@
 }
 
 /** Computes how much sooner the first would end a request than the second, milliseconds. */
-function computeGap(sorted: readonly Candidate[], estimatedTokens: number): number {
+function computeDelayGap(sorted: readonly Candidate[], estimatedTokens: number): number {
   const [first, second] = sorted.map((candidate) => estimateDelay(candidate, estimatedTokens));
   return second === undefined ? ASK_MORE_MS : second - first;
 }
@@ -156,7 +158,7 @@
   candidates: readonly Candidate[],
   context: PlacementContext,
   count: number,
-): AskPlan {
+): ReservationPlan {
   const sorted = sortByDelay(candidates, context);
   const [best] = sorted;
   if (best !== undefined && best.cachedTokens > 0) {
@@ -166,8 +168,8 @@
   }
   // Where all have room, the first grant comes from the nearest, not the best.
   if (best?.queued === 0) {
-    const gapMs = computeGap(sorted, context.estimatedTokens);
-    return { asked: [best], waitMs: Math.min(Math.max(gapMs, FIRST_ASK_MS), ASK_MORE_MS) };
+    const gapMs = computeDelayGap(sorted, context.estimatedTokens);
+    return { asked: [best], waitMs: Math.min(Math.max(gapMs, MIN_IDLE_WAIT_MS), ASK_MORE_MS) };
   }
   const asked = sorted.slice(0, count);
   const preferred = sorted.find((candidate) => candidate.preferred);
--- a/packages/core/src/entry/accounts.ts
+++ b/packages/core/src/entry/request-accounting.ts
@@ -16,7 +16,7 @@
 export const WITHDRAW_GRACE_MS = 250;
 
 /** Gets the state of a request's service. */
-export function getServiceOf(
+export function getRequestService(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
 ): serviceState.ServiceState {
@@ -37,10 +37,10 @@
 }
 
 /** Computes when something is due for a request, milliseconds since the Unix epoch. */
-function computeDue(request: entryState.EntryRequest, now: number): number {
+function computeDueTime(request: entryState.EntryRequest, now: number): number {
   if (request.status === entryState.RequestStatus.WAITING) {
     const retryAtMs = request.retryAtMs || Infinity;
-    return Math.min(request.deadlineMs, request.askMoreMs, retryAtMs);
+    return Math.min(request.deadlineMs, request.nextAskAtMs, retryAtMs);
   }
   const withdrawnMs = request.target?.withdrawnMs ?? 0;
   return now < request.deadlineMs || withdrawnMs === 0
@@ -49,13 +49,13 @@
 }
 
 /** Brings the time at which something is due for a held request up to date. */
-export function updateDue(
+export function updateDueTime(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
 ): void {
   if (state.requests.get(request.requestId) === request) {
-    priorityHeap.setPriority(state.due, request.requestId, computeDue(request, now));
+    priorityHeap.setPriority(state.due, request.requestId, computeDueTime(request, now));
   }
 }
 
@@ -65,7 +65,7 @@
   request: entryState.EntryRequest,
   now: number,
 ): void {
-  const service = getServiceOf(state, request);
+  const service = getRequestService(state, request);
   const held = service.heldByWorkspace.get(request.workspace) ?? 0;
   service.heldByWorkspace.set(request.workspace, held + 1);
   state.requests.set(request.requestId, request);
@@ -78,10 +78,10 @@
   state: entryState.EntryState,
   request: entryState.EntryRequest,
 ): void {
-  const service = getServiceOf(state, request);
+  const service = getRequestService(state, request);
   releaseTarget(state, request);
   endWaiting(state, request);
-  endUnstarted(state, request);
+  removeUnstarted(state, request);
   priorityHeap.removeId(state.due, request.requestId);
   state.requests.delete(request.requestId);
   state.claiming.delete(request.requestId);
@@ -100,19 +100,19 @@
   request: entryState.EntryRequest,
   now: number,
 ): void {
-  const service = getServiceOf(state, request);
+  const service = getRequestService(state, request);
   request.status = entryState.RequestStatus.WAITING;
-  request.askMoreMs = Infinity;
+  request.nextAskAtMs = Infinity;
   request.startedMs = 0;
   request.answerTokens = 0;
   service.waitingIds.add(request.requestId);
   startQueue.enqueue(service.unstarted, toQueuedItem(request));
-  updateDue(state, request, now);
+  updateDueTime(state, request, now);
 }
 
 /** Takes a request out of those that wait. */
 export function endWaiting(state: entryState.EntryState, request: entryState.EntryRequest): void {
-  const service = getServiceOf(state, request);
+  const service = getRequestService(state, request);
   service.waitingIds.delete(request.requestId);
   startQueue.removeItem(service.parked, RESERVATION, request.requestId);
 }
@@ -123,9 +123,9 @@
   request: entryState.EntryRequest,
   now: number,
 ): void {
-  request.askMoreMs = Infinity;
-  startQueue.enqueue(getServiceOf(state, request).parked, toQueuedItem(request));
-  updateDue(state, request, now);
+  request.nextAskAtMs = Infinity;
+  startQueue.enqueue(getRequestService(state, request).parked, toQueuedItem(request));
+  updateDueTime(state, request, now);
 }
 
 /** Estimates the tokens that go before a request that waits for room. */
@@ -134,7 +134,7 @@
   request: entryState.EntryRequest,
 ): number {
   return startQueue.estimateTokensAhead(
-    getServiceOf(state, request).parked,
+    getRequestService(state, request).parked,
     request.tierRank,
     request.workspace,
     request.arrived.estimatedTokens,
@@ -153,8 +153,11 @@
 }
 
 /** Notes that a request may have started, or that its agent was asked to give it up. */
-export function endUnstarted(state: entryState.EntryState, request: entryState.EntryRequest): void {
-  const service = getServiceOf(state, request);
+export function removeUnstarted(
+  state: entryState.EntryState,
+  request: entryState.EntryRequest,
+): void {
+  const service = getRequestService(state, request);
   startQueue.removeItem(service.unstarted, RESERVATION, request.requestId);
   service.withdrawnIds.delete(request.requestId);
 }
@@ -170,9 +173,9 @@
   }
   request.target.started = true;
   request.startedMs = now;
-  endUnstarted(state, request);
-  const { drain } = getServiceOf(state, request);
-  queueThroughput.noteStart(drain, request.arrived.estimatedTokens, request.arrivedMs, now);
+  removeUnstarted(state, request);
+  const { throughput } = getRequestService(state, request);
+  queueThroughput.noteStart(throughput, request.arrived.estimatedTokens, request.arrivedMs, now);
 }
 
 /** Notes that an agent holds a request from now on. */
--- a/packages/core/src/entry/repeats.ts
+++ b/packages/core/src/entry/retries.ts
@@ -1,7 +1,7 @@
 /** Repeats idempotent requests whose run broke, within a budget. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as dispatch from './dispatch.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
@@ -13,21 +13,21 @@
 
 /** Crashes after which a request is not repeated: it is then a likely cause. */
 const MAX_CRASHES = 1;
-const MAX_REPEATS = 3;
+const MAX_RETRIES = 3;
 
 /** Waits out a pause before the request is placed again. */
-function beginPause(
+function startBackoff(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   failure: outcomes.Failure,
   now: number,
 ): Effects {
-  request.earlierRun = outcomes.mergeRunStates(request.earlierRun, failure.runState);
-  dispatch.beginAgain(state, request, now);
-  const pauseMs = retryBudget.drawBackoff(request.repeats, state.policy.drawRandom);
-  request.repeats += 1;
+  request.earlierRunState = outcomes.mergeRunStates(request.earlierRunState, failure.runState);
+  dispatch.resetToWaiting(state, request, now);
+  const pauseMs = retryBudget.drawBackoff(request.retries, state.policy.drawRandom);
+  request.retries += 1;
   request.retryAtMs = now + pauseMs;
-  accounts.updateDue(state, request, now);
+  requestAccounting.updateDueTime(state, request, now);
   return [
     effect.logDecision('repeat', {
       request: request.requestId,
@@ -39,7 +39,7 @@
 }
 
 /** Ends or repeats a request whose attempt was lost or broke. */
-export function handleBrokenRun(
+export function handleFailedRun(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   failure: outcomes.Failure,
@@ -48,22 +48,22 @@
   if (failure.code === schema.ResultCode.ENGINE_CRASHED) {
     request.crashes += 1;
   }
-  const mayRepeat =
+  const canRetry =
     request.repeatable &&
     !request.firstByteSent &&
     now < request.deadlineMs &&
-    request.repeats < MAX_REPEATS &&
+    request.retries < MAX_RETRIES &&
     request.crashes <= MAX_CRASHES;
-  if (!mayRepeat) {
+  if (!canRetry) {
     return outcomes.fail(state, request, failure, now);
   }
-  const service = accounts.getServiceOf(state, request);
+  const service = requestAccounting.getRequestService(state, request);
   const { retryBudgetPercent } = entryState.getLimits(state, service.service);
   // A spent budget sheds load, and no urgent request is shed before less urgent
   // ones. Those that this entry holds make room for the repeat.
-  const yields = accounts.hasLessUrgent(service, request.tierRank);
-  if (retryBudget.takeRetry(service.retries, retryBudgetPercent, now) || yields) {
-    return beginPause(state, request, failure, now);
+  const canShedOthers = requestAccounting.hasLessUrgent(service, request.tierRank);
+  if (retryBudget.takeRetry(service.retryBudget, retryBudgetPercent, now) || canShedOthers) {
+    return startBackoff(state, request, failure, now);
   }
   const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
   const code = schema.ResultCode.RETRY_BUDGET_SPENT;
--- a/packages/core/src/entry/service-state.ts
+++ b/packages/core/src/entry/service-state.ts
@@ -4,7 +4,7 @@
 import * as costModel from './cost-model.js';
 import * as queueThroughput from '../shared/queue-throughput.js';
 import * as durationModel from './duration-model.js';
-import * as prefixMemory from './prefix-memory.js';
+import * as prefixLocations from './prefix-locations.js';
 import * as retryBudget from '../shared/retry-budget.js';
 
 export type ServiceState = {
@@ -25,11 +25,11 @@
   unstarted: startQueue.StartQueue;
   /** Requests withdrawn from agents to make room; their agents have not replied. */
   withdrawnIds: Set<string>;
-  drain: queueThroughput.QueueThroughput;
-  retries: retryBudget.RetryBudget;
+  throughput: queueThroughput.QueueThroughput;
+  retryBudget: retryBudget.RetryBudget;
   costs: costModel.CostModel;
   durations: durationModel.DurationModel;
-  prefixes: prefixMemory.PrefixMemory;
+  prefixes: prefixLocations.PrefixMemory;
   /** Placements so far. */
   placements: number;
 };
@@ -46,8 +46,8 @@
     parked: startQueue.createStartQueue(),
     unstarted: startQueue.createStartQueue(),
     withdrawnIds: new Set(),
-    drain: queueThroughput.createQueueThroughput(),
-    retries: retryBudget.createRetryBudget(),
+    throughput: queueThroughput.createQueueThroughput(),
+    retryBudget: retryBudget.createRetryBudget(),
     costs: new Map(),
     durations: new Map(),
     prefixes: new Map(),
--- a/packages/core/src/entry/shedding.ts
+++ b/packages/core/src/entry/shedding.ts
@@ -2,8 +2,8 @@
 import * as schema from '@toucanproxy/schema';
 import * as startQueue from '../shared/start-queue.js';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
-import * as asking from './asking.js';
+import * as requestAccounting from './request-accounting.js';
+import * as assignment from './assignment.js';
 import * as candidates from './candidates.js';
 import * as queueThroughput from '../shared/queue-throughput.js';
 import * as entryEvent from './entry-event.js';
@@ -21,8 +21,8 @@
   service: serviceState.ServiceState,
   tierRank: number,
 ): number {
-  const ahead = accounts.countAhead(service, tierRank);
-  return queueThroughput.drawRetryAfter(service.drain, ahead, state.policy.drawRandom);
+  const ahead = requestAccounting.countAhead(service, tierRank);
+  return queueThroughput.drawRetryAfter(service.throughput, ahead, state.policy.drawRandom);
 }
 
 /** Ends a waiting request so that others find room. */
@@ -31,8 +31,8 @@
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const service = accounts.getServiceOf(state, request);
-  const broken: Effects = accounts.hasLessUrgent(service, request.tierRank)
+  const service = requestAccounting.getRequestService(state, request);
+  const broken: Effects = requestAccounting.hasLessUrgent(service, request.tierRank)
     ? [effect.observe({ kind: 'invariantBroken', name: 'shed-before-less-urgent' })]
     : [];
   const retryAfterMs = drawRetryAfter(state, service, request.tierRank);
@@ -47,8 +47,8 @@
   target: entryState.Target,
   now: number,
 ): Effects {
-  accounts.endUnstarted(state, request);
-  accounts.getServiceOf(state, request).withdrawnIds.add(request.requestId);
+  requestAccounting.removeUnstarted(state, request);
+  requestAccounting.getRequestService(state, request).withdrawnIds.add(request.requestId);
   target.withdrawnMs = now;
   const body = entryMessages.buildWithdraw(target);
   return [entryMessages.sendToAgent(target.backendServerId, body)];
@@ -87,12 +87,14 @@
     return { effects: shed(state, request, now), madeRoom: true };
   }
   const asked = request.reservedAt.has(agent.backendServerId);
-  const effects = asked ? [] : asking.askAgent(state, request, agent, asking.AskReason.EVICTS, now);
-  const service = accounts.getServiceOf(state, request);
+  const effects = asked
+    ? []
+    : assignment.askAgent(state, request, agent, assignment.AssignmentReason.EVICTS, now);
+  const service = requestAccounting.getRequestService(state, request);
   return { effects, madeRoom: !service.waitingIds.has(request.requestId) };
 }
 
-/** Makes room for one request: the newest of the least urgent tier gives way. */
+/** Makes room for one request: the newest of the least urgent tier gives strategy. */
 function makeRoom(
   state: entryState.EntryState,
   service: serviceState.ServiceState,
--- a/packages/entry/src/app.ts
+++ b/packages/entry/src/app.ts
@@ -21,7 +21,7 @@
 type EntryTask = runtime.CoreTask<core.EntryEvent, core.EntryEffect>;
 
 /** The tasks that carry out the core's effects. */
-type Parts = {
+type Components = {
   state: core.EntryState;
   logger: bunyan;
   metrics: runtime.Metrics;
@@ -31,11 +31,11 @@
   stopped: () => void;
 };
 
-type Executors = {
+type EffectHandlers = {
   [K in core.EntryEffect['kind']]: (effect: Extract<core.EntryEffect, { kind: K }>) => void;
 };
 
-type Readers = {
+type ReaderOptions = {
   settings: schema.EntrySettings;
   state: core.EntryState;
   logger: bunyan;
@@ -46,22 +46,22 @@
 const LIFE_BYTES = 6;
 
 /** Names the task that carries out each effect. */
-function buildExecutors(parts: Parts): Executors {
-  const { state, logger, metrics, links, callers } = parts;
+function buildEffectHandlers(components: Components): EffectHandlers {
+  const { state, logger, metrics, links, callers } = components;
   return {
     openLink: (effect) => links.open(effect.backendServerId, effect.address),
     closeLink: (effect) => links.close(effect.backendServerId),
     sendToAgent: (effect) => links.send(effect.backendServerId, effect.message),
-    answerHead: callers.answer,
-    answerData: callers.answer,
-    answerEnd: callers.answer,
-    answerFailure: callers.answer,
-    documentReceived: (effect) => parts.receiveDocument(effect.json),
-    // The core has ended every request; the last bytes may still be on their way.
+    answerHead: callers.applyEffect,
+    answerData: callers.applyEffect,
+    answerEnd: callers.applyEffect,
+    answerFailure: callers.applyEffect,
+    documentReceived: (effect) => components.receiveDocument(effect.json),
+    // The core has ended every request; the last bytes may still be on their strategy.
     stopped: () =>
       callers.notifyIdle(() => {
         logger.info({ event: 'stopped' }, 'stopped');
-        parts.stopped();
+        components.stopped();
       }),
     log: (effect) => {
       runtime.applyLogLevel(logger, state.documents);
@@ -81,7 +81,7 @@
 }
 
 /** Starts the tasks that read what the platform publishes. */
-function startReaders(readers: Readers): { stop: () => void }[] {
+function startReaders(readers: ReaderOptions): { stop: () => void }[] {
   const { settings, state, logger, receiveDocument, task } = readers;
   const watches = settings.services.map((service) =>
     runtime.startConfigurationWatch({
@@ -104,7 +104,7 @@
 }
 
 /** Starts to listen for callers. */
-function startCallers(
+function startCallerListener(
   settings: schema.EntrySettings,
   task: EntryTask,
   state: core.EntryState,
@@ -122,7 +122,7 @@
     port: callers?.port ?? 0,
     limits: {
       ...schema.getCallerLimits(callerLimits),
-      reportCut: (callerId, unreadBytes) => {
+      reportSlowCaller: (callerId, unreadBytes) => {
         logger.warn({ event: 'caller-cut', callerId, unreadBytes }, 'caller-cut');
         runtime.addCount(metrics, 'callers_cut_total', {});
       },
@@ -155,10 +155,10 @@
   });
   const receiveDocument = runtime.createDocumentReceiver(logger, task.post);
   const links = agentLinkTask.createAgentLinkTask(task.post);
-  const callers = await startCallers(settings, task, state, { logger, metrics });
-  const parts = { state, logger, metrics, links, callers, receiveDocument, stopped };
-  const executors = buildExecutors(parts);
-  task.start((effect) => executors[effect.kind](effect as never));
+  const callers = await startCallerListener(settings, task, state, { logger, metrics });
+  const components = { state, logger, metrics, links, callers, receiveDocument, stopped };
+  const effectHandlers = buildEffectHandlers(components);
+  task.start((effect) => effectHandlers[effect.kind](effect as never));
   const operators = await runtime.startOperatorServer({
     host: settings.operators?.host ?? '',
     port: settings.operators?.port ?? 0,
--- a/packages/entry/src/caller-rights.test.ts
+++ b/packages/entry/src/caller-authorization.test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
-import * as callerRights from './caller-rights.js';
+import * as callerAuthorization from './caller-authorization.js';
 
 const { ResultCode } = schema;
 
@@ -27,14 +27,14 @@
 nodeTest.test('rights: limit of the service, or the greatest of the token', () => {
   const documents = buildDocuments({ a: 10, b: 20 });
   const find = (service: string | undefined, token: string) =>
-    callerRights.findRights(documents, ['a', 'b'], service, token);
+    callerAuthorization.checkAuthorization(documents, ['a', 'b'], service, token);
   assert.deepEqual(find('a', 'shared'), { kind: 'granted', maxBodyBytes: 10 });
   assert.deepEqual(find(undefined, 'shared'), { kind: 'granted', maxBodyBytes: 20 });
   assert.deepEqual(find(undefined, 'a'), { kind: 'granted', maxBodyBytes: 10 });
   assert.deepEqual(find('b', 'a'), { kind: 'refused', code: ResultCode.UNAUTHENTICATED });
   assert.deepEqual(find('c', 'a'), { kind: 'refused', code: ResultCode.UNKNOWN_SERVICE });
-  assert.equal(callerRights.findWorkspace(documents, 'b', 'shared'), 'b-shared');
-  assert.equal(callerRights.findWorkspace(documents, 'b', 'a'), '');
+  assert.equal(callerAuthorization.findWorkspace(documents, 'b', 'shared'), 'b-shared');
+  assert.equal(callerAuthorization.findWorkspace(documents, 'b', 'a'), '');
 });
 
 nodeTest.test('rights: a document that is still to come', () => {
@@ -42,7 +42,7 @@
   // back, not that their token is wrong.
   const documents = buildDocuments({ a: 10 });
   const find = (service: string | undefined, token: string) =>
-    callerRights.findRights(documents, ['a', 'b'], service, token);
+    callerAuthorization.checkAuthorization(documents, ['a', 'b'], service, token);
   const unavailable = { kind: 'refused', code: ResultCode.NO_BACKEND_SERVER };
   assert.deepEqual(find('b', 'a'), unavailable);
   assert.deepEqual(find(undefined, 'nobody'), unavailable);
--- a/packages/entry/src/caller-rights.ts
+++ b/packages/entry/src/caller-authorization.ts
@@ -2,7 +2,7 @@
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
 
-export type CallerRights =
+export type CallerAuthorization =
   { kind: 'granted'; maxBodyBytes: number } | { kind: 'refused'; code: schema.ResultCode };
 
 /** Finds the credential of a token in one document. */
@@ -23,11 +23,11 @@
 }
 
 /** Refuses a caller whose service, or any service, is not known yet. */
-function refuseUnknown(
+function rejectUnknown(
   documents: core.DocumentStore,
   services: readonly string[],
   service: string | undefined,
-): CallerRights {
+): CallerAuthorization {
   const wanted = service === undefined ? services : services.filter((one) => one === service);
   const awaitsDocument = wanted.some((one) => !documents.has(one));
   if (awaitsDocument) {
@@ -47,18 +47,18 @@
  * @param service undefined where only the body names it; the greatest limit of
  *   the token's services holds then
  */
-export function findRights(
+export function checkAuthorization(
   documents: core.DocumentStore,
   services: readonly string[],
   service: string | undefined,
   tokenSha256: string,
-): CallerRights {
+): CallerAuthorization {
   const named = service === undefined ? [...documents.keys()] : [service];
   const limits = named
     .map((name) => documents.get(name)?.document)
     .filter((document) => findCredential(document, tokenSha256) !== undefined)
     .map((document) => schema.getLimits(document).maxBodyBytes);
   return limits.length === 0
-    ? refuseUnknown(documents, services, service)
+    ? rejectUnknown(documents, services, service)
     : { kind: 'granted', maxBodyBytes: Math.max(...limits) };
 }
--- a/packages/entry/src/caller-bytes.test.ts
+++ b/packages/entry/src/caller-bytes.test.ts
@@ -30,7 +30,7 @@
   GOOD,
 ];
 
-enum Leaving {
+enum Disconnect {
   RESET = 'reset',
   END = 'end',
   DESTROY = 'destroy',
@@ -43,18 +43,18 @@
   core.storeDocument(documents, { document, json: '' });
   const bodyBudget = { usedBytes: 0 };
   const context = { documents, services: ['ledgerhat'], digestKey: 'key', bodyBudget };
-  const limits = { ...schema.DEFAULT_CALLER_LIMITS, reportCut: () => {} };
+  const limits = { ...schema.DEFAULT_CALLER_LIMITS, reportSlowCaller: () => {} };
   const base = { host: '127.0.0.1', port: 0, post: () => {}, reportRefusal: () => {} };
   return callerServer.startCallerServer({ ...base, limits, context });
 }
 
 /** Leaves in one of the ways that callers do. */
-function closeSocket(socket: net.Socket, leaving: Leaving): void {
-  switch (leaving) {
-    case Leaving.RESET:
+function closeSocket(socket: net.Socket, disconnect: Disconnect): void {
+  switch (disconnect) {
+    case Disconnect.RESET:
       socket.resetAndDestroy();
       return;
-    case Leaving.DESTROY:
+    case Disconnect.DESTROY:
       socket.destroy();
       return;
     default:
@@ -63,11 +63,11 @@
 }
 
 /** Sends bytes, leaves, and resolves once the connection has closed. */
-function sendAndLeave(port: number, bytes: string, leaving: Leaving): Promise<string> {
+function sendAndDisconnect(port: number, bytes: string, disconnect: Disconnect): Promise<string> {
   return new Promise((resolve) => {
     let text = '';
     const socket = net.connect(port, '127.0.0.1', () =>
-      socket.write(bytes, () => closeSocket(socket, leaving)),
+      socket.write(bytes, () => closeSocket(socket, disconnect)),
     );
     socket.on('data', (data) => {
       text += data.toString('latin1');
@@ -77,7 +77,7 @@
   });
 }
 
-nodeTest.test('any bytes and any leaving: the entry goes on', async (context) => {
+nodeTest.test('any bytes and any disconnect: the entry goes on', async (context) => {
   const server = await startServer();
   context.after(() => server.stop());
   const pieces = fastCheck.array(
@@ -87,11 +87,11 @@
     ),
     { maxLength: 8 },
   );
-  const leavings = fastCheck.constantFrom(...Object.values(Leaving));
+  const disconnects = fastCheck.constantFrom(...Object.values(Disconnect));
   await fastCheck.assert(
-    fastCheck.asyncProperty(pieces, leavings, async (list, leaving) => {
-      await sendAndLeave(server.port, list.join(''), leaving);
-      const answer = await sendAndLeave(server.port, GOOD, Leaving.END);
+    fastCheck.asyncProperty(pieces, disconnects, async (list, disconnect) => {
+      await sendAndDisconnect(server.port, list.join(''), disconnect);
+      const answer = await sendAndDisconnect(server.port, GOOD, Disconnect.END);
       assert.match(answer, /^HTTP\/1.1 401 [^]*"code":103/);
     }),
     { seed: SEED, numRuns: RUNS },
--- a/packages/entry/src/caller-answer.ts
+++ b/packages/entry/src/caller-response.ts
@@ -2,7 +2,7 @@
 import * as http from 'node:http';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
-import * as failureAnswer from './failure-answer.js';
+import * as failureResponse from './failure-response.js';
 
 export type CallerEffect = Extract<
   core.EntryEffect,
@@ -13,7 +13,7 @@
 export enum ExchangePhase {
   /** Its body is still coming. */
   READING = 'reading',
-  /** The core decides on it, or its answer is on the way. */
+  /** The core decides on it, or its answer is on the strategy. */
   HELD = 'held',
 }
 
@@ -25,16 +25,16 @@
   phase: ExchangePhase;
   streamed: boolean;
   /** The result follows the body as a trailer. */
-  trailing: boolean;
+  sendsTrailer: boolean;
   writtenBytes: number;
   stallTimer: NodeJS.Timeout | undefined;
 };
 
-export type AnswerLimits = {
+export type ResponseLimits = {
   maxAnswerBufferBytes: number;
   readTimeoutMs: number;
   /** Told of a caller that was given up because it does not read. */
-  reportCut: (callerId: number, unreadBytes: number) => void;
+  reportSlowCaller: (callerId: number, unreadBytes: number) => void;
 };
 
 const EVENT_STREAM = 'text/event-stream';
@@ -50,7 +50,7 @@
 ): Exchange {
   const phase = ExchangePhase.READING;
   const base = { callerId, request, response, phase };
-  return { ...base, streamed: false, trailing: false, writtenBytes: 0, stallTimer: undefined };
+  return { ...base, streamed: false, sendsTrailer: false, writtenBytes: 0, stallTimer: undefined };
 }
 
 /** Computes the bytes that have left this process for the caller. */
@@ -59,9 +59,9 @@
 }
 
 /** Gives a caller up that does not read. */
-function dropCaller(exchange: Exchange, limits: AnswerLimits): void {
+function abortResponse(exchange: Exchange, limits: ResponseLimits): void {
   const { callerId, response } = exchange;
-  limits.reportCut(callerId, response.writableLength);
+  limits.reportSlowCaller(callerId, response.writableLength);
   response.destroy();
 }
 
@@ -71,7 +71,7 @@
  * The bytes it does not read stay in this process. A caller that opens many
  * streams and reads none would otherwise take all its memory.
  */
-function watchReading(exchange: Exchange, limits: AnswerLimits): void {
+function watchReading(exchange: Exchange, limits: ResponseLimits): void {
   const { response } = exchange;
   if (exchange.stallTimer !== undefined || response.writableLength === 0) {
     return;
@@ -80,7 +80,7 @@
   exchange.stallTimer = setTimeout(() => {
     exchange.stallTimer = undefined;
     if (response.writableLength > 0 && computeSentBytes(exchange) <= sentBefore) {
-      dropCaller(exchange, limits);
+      abortResponse(exchange, limits);
       return;
     }
     watchReading(exchange, limits);
@@ -103,29 +103,29 @@
 function sendHead(exchange: Exchange, effect: EffectOf<'answerHead'>): void {
   const { status, contentType, requestId } = effect;
   exchange.streamed = contentType.startsWith(EVENT_STREAM);
-  exchange.trailing = hasTrailer(exchange, status);
-  const trailer = exchange.trailing ? { trailer: RESULT_HEADER } : {};
+  exchange.sendsTrailer = hasTrailer(exchange, status);
+  const trailer = exchange.sendsTrailer ? { trailer: RESULT_HEADER } : {};
   const result = exchange.streamed ? trailer : { [RESULT_HEADER]: COMPLETED };
   const headers = { 'content-type': contentType, 'x-request-id': requestId, ...result };
   exchange.response.writeHead(status, headers);
 }
 
 /** Sends one part of an answer. */
-function sendData(exchange: Exchange, data: Uint8Array, limits: AnswerLimits): void {
+function sendData(exchange: Exchange, data: Uint8Array, limits: ResponseLimits): void {
   const { response } = exchange;
   exchange.writtenBytes += data.length;
   response.write(data);
   if (exchange.streamed && response.writableLength > limits.maxAnswerBufferBytes) {
-    dropCaller(exchange, limits);
+    abortResponse(exchange, limits);
     return;
   }
   watchReading(exchange, limits);
 }
 
 /** Sends the end of a whole answer. */
-function sendEnd(exchange: Exchange, limits: AnswerLimits): void {
+function sendEnd(exchange: Exchange, limits: ResponseLimits): void {
   const { response } = exchange;
-  if (exchange.trailing) {
+  if (exchange.sendsTrailer) {
     response.addTrailers({ [RESULT_HEADER]: COMPLETED });
   }
   response.end();
@@ -133,7 +133,7 @@
 }
 
 /** Ends a started answer with an error event and never with the normal end mark. */
-function closeBroken(exchange: Exchange, body: string, limits: AnswerLimits): void {
+function abortWithError(exchange: Exchange, body: string, limits: ResponseLimits): void {
   const { response, streamed } = exchange;
   const event = streamed ? `event: error\ndata: ${body}\n\n` : '';
   // Destroyed rather than ended: the missing last chunk tells a client that
@@ -146,20 +146,24 @@
 /** Sends a failure, before or after the answer began. */
 export function sendFailure(
   exchange: Exchange,
-  failure: failureAnswer.Failure,
-  limits: AnswerLimits,
+  failure: failureResponse.Failure,
+  limits: ResponseLimits,
 ): void {
   const { response } = exchange;
-  const answer = failureAnswer.buildFailureAnswer(failure);
+  const answer = failureResponse.buildFailureResponse(failure);
   if (response.headersSent) {
-    closeBroken(exchange, answer.body, limits);
+    abortWithError(exchange, answer.body, limits);
     return;
   }
   response.writeHead(answer.status, answer.headers).end(answer.body);
 }
 
 /** Carries out one effect on a caller's connection. */
-export function applyEffect(exchange: Exchange, effect: CallerEffect, limits: AnswerLimits): void {
+export function applyEffect(
+  exchange: Exchange,
+  effect: CallerEffect,
+  limits: ResponseLimits,
+): void {
   switch (effect.kind) {
     case 'answerHead':
       sendHead(exchange, effect);
--- a/packages/entry/src/caller-server.test.ts
+++ b/packages/entry/src/caller-server.test.ts
@@ -14,7 +14,7 @@
 type Setup = {
   server: callerServer.CallerServer;
   refusals: schema.ResultCode[];
-  cuts: number[];
+  slowCallers: number[];
   /** Resolves with the next request that reaches the core. */
   waitForRequest: () => Promise<core.ArrivedRequest>;
 };
@@ -30,7 +30,7 @@
   core.storeDocument(documents, { document, json: '' });
   const waiting: ((request: core.ArrivedRequest) => void)[] = [];
   const refusals: schema.ResultCode[] = [];
-  const cuts: number[] = [];
+  const slowCallers: number[] = [];
   const server = await callerServer.startCallerServer({
     host: '127.0.0.1',
     port: 0,
@@ -38,7 +38,7 @@
       ...schema.DEFAULT_CALLER_LIMITS,
       maxConnections: 2,
       maxAnswerBufferBytes: BUFFER_BYTES,
-      reportCut: (callerId) => cuts.push(callerId),
+      reportSlowCaller: (callerId) => slowCallers.push(callerId),
     },
     context: {
       documents,
@@ -58,7 +58,7 @@
     new Promise<core.ArrivedRequest>((resolve) => {
       waiting.push(resolve);
     });
-  return { server, refusals, cuts, waitForRequest };
+  return { server, refusals, slowCallers, waitForRequest };
 }
 
 /** Sends bytes and collects what comes until the connection closes or matches. */
@@ -115,17 +115,17 @@
 nodeTest.test('a stream that its caller does not read is bounded', async (context) => {
   // The engine streams faster than the caller reads. What waits in this
   // process stays within the limit; then the caller loses its connection.
-  const { server, cuts, waitForRequest } = await startServer(context);
+  const { server, slowCallers, waitForRequest } = await startServer(context);
   const arrival = waitForRequest();
   const client = sendBytes(context, server.port, `${HEAD}content-length: 1\r\n\r\nx`);
   const { callerId } = await arrival;
   client.socket.pause();
   const contentType = 'text/event-stream';
-  server.answer({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
+  server.applyEffect({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
   const data = new Uint8Array(BUFFER_BYTES / 4);
   const parts = Array.from({ length: 4000 });
-  parts.forEach(() => server.answer({ kind: 'answerData', callerId, data }));
-  assert.deepEqual(cuts, [callerId]);
+  parts.forEach(() => server.applyEffect({ kind: 'answerData', callerId, data }));
+  assert.deepEqual(slowCallers, [callerId]);
 });
 
 nodeTest.test('HTTP/1.0 gets a stream without trailer', async (context) => {
@@ -135,9 +135,9 @@
   const client = sendBytes(context, server.port, `${head}content-length: 1\r\n\r\nx`);
   const { callerId } = await arrival;
   const contentType = 'text/event-stream';
-  server.answer({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
-  server.answer({ kind: 'answerData', callerId, data: Buffer.from('data: [DONE]\n\n') });
-  server.answer({ kind: 'answerEnd', callerId });
+  server.applyEffect({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
+  server.applyEffect({ kind: 'answerData', callerId, data: Buffer.from('data: [DONE]\n\n') });
+  server.applyEffect({ kind: 'answerEnd', callerId });
   assert.match(await client.read(/never/), /\r\n\r\ndata: \[DONE\]\n\n$/);
 });
 
@@ -152,7 +152,7 @@
   });
   const { callerId } = await arrival;
   const contentType = 'a\nb';
-  server.answer({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
+  server.applyEffect({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
   assert.match(String(await failed), /socket hang up/);
 });
 
@@ -170,9 +170,9 @@
   });
   const contentType = 'text/plain';
   requests.forEach(({ callerId }) => {
-    server.answer({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
-    server.answer({ kind: 'answerData', callerId, data: Buffer.from(`answer-${callerId}`) });
-    server.answer({ kind: 'answerEnd', callerId });
+    server.applyEffect({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
+    server.applyEffect({ kind: 'answerData', callerId, data: Buffer.from(`answer-${callerId}`) });
+    server.applyEffect({ kind: 'answerEnd', callerId });
   });
   const text = await client.read(/never/);
   assert.match(text, /answer-1[^]*connection: close[^]*answer-2/i);
@@ -182,7 +182,7 @@
 
 nodeTest.test('a tunnel that is reset ends its own connection', async (context) => {
   // Node.js hands the connection of CONNECT over without any listener. A reset
-  // while the refusal is written would be an error that nobody takes, and the
+  // while the refusal is written would be an error that noAgent takes, and the
   // process would end.
   const { server, waitForRequest } = await startServer(context);
   const resets = Array.from(
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -4,13 +4,13 @@
 import * as core from '@toucanproxy/core';
 import * as runtime from '@toucanproxy/runtime';
 import * as schema from '@toucanproxy/schema';
-import * as callerAnswer from './caller-answer.js';
-import * as failureAnswer from './failure-answer.js';
+import * as callerResponse from './caller-response.js';
+import * as failureResponse from './failure-response.js';
 import * as requestReader from './request-reader.js';
 
 export type CallerServer = {
   port: number;
-  answer: (effect: callerAnswer.CallerEffect) => void;
+  applyEffect: (effect: callerResponse.CallerEffect) => void;
   /** Takes no new connection and ends idle ones. */
   stopListening: () => void;
   /** Calls once every answer has left. */
@@ -21,7 +21,7 @@
 export type CallerServerOptions = {
   host: string;
   port: number;
-  limits: schema.EffectiveCallerLimits & callerAnswer.AnswerLimits;
+  limits: schema.EffectiveCallerLimits & callerResponse.ResponseLimits;
   context: requestReader.ReaderContext;
   post: (event: core.EntryEvent) => void;
   /** Told of requests that are refused before the core sees them. */
@@ -30,27 +30,27 @@
 
 type ServerState = {
   options: CallerServerOptions;
-  exchanges: Map<number, callerAnswer.Exchange>;
-  bySocket: WeakMap<net.Socket, Set<callerAnswer.Exchange>>;
+  exchanges: Map<number, callerResponse.Exchange>;
+  bySocket: WeakMap<net.Socket, Set<callerResponse.Exchange>>;
   connections: Set<net.Socket>;
   /** Connections that were opened beyond the limit. */
-  surplus: WeakSet<net.Socket>;
+  overLimit: WeakSet<net.Socket>;
   nextCallerId: number;
   closing: boolean;
-  idle: (() => void) | undefined;
+  onIdle: (() => void) | undefined;
 };
 
 /** How often slow requests are looked for, milliseconds. */
 const MAX_TIMEOUT_CHECK_MS = 1000;
 /** Connections beyond the limit that are still told so, rather than dropped. */
-const SPARE_CONNECTIONS = 64;
+const REJECTED_CONNECTIONS = 64;
 
-const { ExchangePhase } = callerAnswer;
+const { ExchangePhase } = callerResponse;
 
 /** Refuses a request that the core has not seen. */
 function refuse(
   state: ServerState,
-  exchange: callerAnswer.Exchange,
+  exchange: callerResponse.Exchange,
   code: schema.ResultCode,
 ): void {
   state.options.reportRefusal(code);
@@ -58,19 +58,19 @@
     return;
   }
   exchange.phase = ExchangePhase.HELD;
-  const failure = failureAnswer.buildRefusal(code);
-  callerAnswer.sendFailure(exchange, failure, state.options.limits);
+  const failure = failureResponse.buildRefusal(code);
+  callerResponse.sendFailure(exchange, failure, state.options.limits);
 }
 
 /** Forgets a request whose answer has left or whose caller has gone. */
-function closeExchange(state: ServerState, exchange: callerAnswer.Exchange): void {
+function closeExchange(state: ServerState, exchange: callerResponse.Exchange): void {
   const { callerId, request } = exchange;
   clearTimeout(exchange.stallTimer);
   state.exchanges.delete(callerId);
   state.bySocket.get(request.socket)?.delete(exchange);
   state.options.post({ kind: 'callerLeft', callerId });
   if (state.exchanges.size === 0) {
-    state.idle?.();
+    state.onIdle?.();
   }
 }
 
@@ -79,8 +79,8 @@
   state: ServerState,
   request: http.IncomingMessage,
   response: http.ServerResponse,
-): callerAnswer.Exchange {
-  const exchange = callerAnswer.makeExchange(state.nextCallerId, request, response);
+): callerResponse.Exchange {
+  const exchange = callerResponse.makeExchange(state.nextCallerId, request, response);
   state.nextCallerId += 1;
   state.exchanges.set(exchange.callerId, exchange);
   const { socket } = request;
@@ -94,7 +94,7 @@
 /** Finds the limit on connections that a new request breaks. */
 function findRefusal(
   state: ServerState,
-  exchange: callerAnswer.Exchange,
+  exchange: callerResponse.Exchange,
 ): schema.ResultCode | undefined {
   const { limits } = state.options;
   if (state.closing) {
@@ -102,7 +102,7 @@
   }
   const { socket } = exchange.request;
   const pipelined = state.bySocket.get(socket)?.size ?? 0;
-  const tooMany = state.surplus.has(socket) || pipelined > limits.maxPipelined;
+  const tooMany = state.overLimit.has(socket) || pipelined > limits.maxPipelined;
   return tooMany ? schema.ResultCode.QUEUE_FULL : undefined;
 }
 
@@ -143,7 +143,7 @@
 
 /** Refuses on a connection on which no request could be read. */
 function writeRefusal(socket: net.Socket, code: schema.ResultCode): void {
-  const answer = failureAnswer.buildFailureAnswer(failureAnswer.buildRefusal(code));
+  const answer = failureResponse.buildFailureResponse(failureResponse.buildRefusal(code));
   runtime.writeErrorResponse(socket, answer);
 }
 
@@ -187,7 +187,7 @@
     requestTimeout: limits.bodyTimeoutMs,
     connectionsCheckingInterval: Math.min(MAX_TIMEOUT_CHECK_MS, headersTimeout),
   });
-  server.maxConnections = limits.maxConnections + SPARE_CONNECTIONS;
+  server.maxConnections = limits.maxConnections + REJECTED_CONNECTIONS;
   const listen =
     (expectsContinue: boolean): http.RequestListener =>
     (request, response) => {
@@ -211,18 +211,18 @@
   state.connections.add(socket);
   socket.on('close', () => state.connections.delete(socket));
   if (state.connections.size > state.options.limits.maxConnections) {
-    state.surplus.add(socket);
+    state.overLimit.add(socket);
   }
 }
 
 /** Carries out one effect on a caller that is still there. */
-function answerCaller(state: ServerState, effect: callerAnswer.CallerEffect): void {
+function applyCallerEffect(state: ServerState, effect: callerResponse.CallerEffect): void {
   const exchange = state.exchanges.get(effect.callerId);
   if (exchange === undefined || exchange.response.destroyed) {
     return;
   }
   try {
-    callerAnswer.applyEffect(exchange, effect, state.options.limits);
+    callerResponse.applyEffect(exchange, effect, state.options.limits);
   } catch {
     // An answer that HTTP cannot carry ends its own connection. Thrown further,
     // it would stop the task that serves every other caller.
@@ -236,7 +236,7 @@
  * The last one only: a connection closes after the first answer that says so,
  * and answers behind it would be lost.
  */
-function closeAfterAnswers(state: ServerState): void {
+function closeAfterResponses(state: ServerState): void {
   const exchanges = [...state.exchanges.values()];
   const lastBySocket = new Map(exchanges.map((exchange) => [exchange.request.socket, exchange]));
   lastBySocket.forEach(({ response }) => {
@@ -253,10 +253,10 @@
     exchanges: new Map(),
     bySocket: new WeakMap(),
     connections: new Set(),
-    surplus: new WeakSet(),
+    overLimit: new WeakSet(),
     nextCallerId: 1,
     closing: false,
-    idle: undefined,
+    onIdle: undefined,
   };
   const server = createServer(state);
   await new Promise<void>((resolve, reject) => {
@@ -265,15 +265,15 @@
   });
   return {
     port: (server.address() as net.AddressInfo).port,
-    answer: (effect) => answerCaller(state, effect),
+    applyEffect: (effect) => applyCallerEffect(state, effect),
     stopListening: () => {
       state.closing = true;
       server.close();
       server.closeIdleConnections();
-      closeAfterAnswers(state);
+      closeAfterResponses(state);
     },
     notifyIdle: (idle) => {
-      state.idle = idle;
+      state.onIdle = idle;
       if (state.exchanges.size === 0) {
         idle();
       }
--- a/packages/entry/src/failure-answer.ts
+++ b/packages/entry/src/failure-response.ts
@@ -19,12 +19,12 @@
 
 const MS_PER_SECOND = 1000;
 /** Told where the core names no time of its own. */
-const LEAST_RETRY_AFTER_MS = 1000;
+const MIN_RETRY_AFTER_MS = 1000;
 /** Codes from 201 to 299 are about capacity and membership. */
-const CAPACITY_HUNDRED = 2;
-const HUNDRED = 100;
+const CAPACITY_CODE_GROUP = 2;
+const CODE_GROUP_SIZE = 100;
 
-export type FailureAnswer = {
+export type FailureResponse = {
   status: number;
   headers: Record<string, string>;
   body: string;
@@ -36,16 +36,16 @@
 }
 
 /** Tells whether the same request may succeed later without doing anything twice. */
-function isWorthRetrying(failure: Failure): boolean {
-  const ofCapacity = Math.floor(failure.code / HUNDRED) === CAPACITY_HUNDRED;
+function isSafeToRetry(failure: Failure): boolean {
+  const ofCapacity = Math.floor(failure.code / CODE_GROUP_SIZE) === CAPACITY_CODE_GROUP;
   return ofCapacity && failure.runState === schema.RunState.NOT_RUN;
 }
 
 /** Builds the headers of a failure. */
 function buildHeaders(failure: Failure): Record<string, string> {
   const { code, requestId, retryAfterMs } = failure;
-  const retriable = isWorthRetrying(failure);
-  const waitMs = retriable ? Math.max(retryAfterMs, LEAST_RETRY_AFTER_MS) : retryAfterMs;
+  const retriable = isSafeToRetry(failure);
+  const waitMs = retriable ? Math.max(retryAfterMs, MIN_RETRY_AFTER_MS) : retryAfterMs;
   return {
     'content-type': 'application/json',
     'x-toucanproxy-result': String(code),
@@ -58,7 +58,7 @@
 }
 
 /** Builds the answer; its shape is the one that OpenAI-style clients know. */
-export function buildFailureAnswer(failure: Failure): FailureAnswer {
+export function buildFailureResponse(failure: Failure): FailureResponse {
   const { code, requestId } = failure;
   const name = ResultCode[code].toLowerCase();
   const error = {
--- a/packages/entry/src/gauges.ts
+++ b/packages/entry/src/gauges.ts
@@ -13,7 +13,7 @@
 }
 
 /** Lists requests in hand by tier. */
-function listHeld(state: core.EntryState): runtime.MetricSample[] {
+function listHeldRequests(state: core.EntryState): runtime.MetricSample[] {
   return status.countByTier(state).flatMap(({ service, tier, waiting, offered }) => [
     { name: 'requests_held', labels: { service, tier, status: 'waiting' }, value: waiting },
     { name: 'requests_held', labels: { service, tier, status: 'offered' }, value: offered },
@@ -42,5 +42,5 @@
  */
 export function listGauges(state: core.EntryState, now: number): runtime.MetricSample[] {
   const suspects = { name: 'suspects', labels: {}, value: state.suspects.byDigest.size };
-  return [...listVersions(state), ...listHeld(state), ...listServers(state, now), suspects];
+  return [...listVersions(state), ...listHeldRequests(state), ...listServers(state, now), suspects];
 }
--- a/packages/entry/src/prefix-hashes.ts
+++ b/packages/entry/src/prefix-hashes.ts
@@ -4,7 +4,7 @@
 /** Rough length of a token in characters of text. */
 const CHARACTERS_PER_TOKEN = 4;
 /** Pieces double in length; this many reach half a million tokens. */
-const MAX_PIECES = 12;
+const MAX_PREFIXES = 12;
 
 /** What a model request holds its prompt in. */
 export type PromptBody = { messages?: unknown; prompt?: unknown };
@@ -12,7 +12,7 @@
 /** Hashes leading pieces, the shortest first, each twice as long as the one before. */
 export function hashPrefixes(text: string): number[] {
   const lengths = Array.from(
-    { length: MAX_PIECES },
+    { length: MAX_PREFIXES },
     (_, index) => core.FIRST_PREFIX_TOKENS * CHARACTERS_PER_TOKEN * 2 ** index,
   );
   return lengths
--- a/packages/entry/src/request-body.ts
+++ b/packages/entry/src/request-body.ts
@@ -9,7 +9,7 @@
 export type BodyBudget = { usedBytes: number };
 
 /** Bound on the sum over all callers, bytes. */
-const MAX_READING_BYTES = 512 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 512 * 1024 * 1024;
 
 /** Tells whether the header alone says that a body is too long. */
 export function isDeclaredTooLarge(request: http.IncomingMessage, maxBytes: number): boolean {
@@ -45,7 +45,7 @@
       chunks.push(chunk);
       if (size > maxBytes) {
         fail(schema.ResultCode.BODY_TOO_LARGE);
-      } else if (budget.usedBytes > MAX_READING_BYTES) {
+      } else if (budget.usedBytes > MAX_BUFFERED_BYTES) {
         fail(schema.ResultCode.QUEUE_FULL);
       }
     });
--- a/packages/entry/src/request-cost.ts
+++ b/packages/entry/src/request-cost.ts
@@ -3,15 +3,15 @@
 /** Rough length of a token in bytes of JSON text. */
 const BYTES_PER_TOKEN = 4;
 /** Answer length assumed where the caller gives no bound, tokens. */
-const ASSUMED_ANSWER_TOKENS = 256;
+const DEFAULT_RESPONSE_TOKENS = 256;
 
 /** Reads the caller's bound on its answer, tokens; 0 where it gives none. */
-export function readAnswerBound(maxTokens: unknown): number {
+export function parseMaxTokens(maxTokens: unknown): number {
   return typeof maxTokens === 'number' && maxTokens > 0 ? maxTokens : 0;
 }
 
 /** Estimates tokens of prompt and answer. */
 export function estimateTokens(payloadBytes: number, maxTokens: unknown): number {
-  const answer = readAnswerBound(maxTokens) || ASSUMED_ANSWER_TOKENS;
+  const answer = parseMaxTokens(maxTokens) || DEFAULT_RESPONSE_TOKENS;
   return Math.ceil(payloadBytes / BYTES_PER_TOKEN) + answer;
 }
--- a/packages/entry/src/request-reader.ts
+++ b/packages/entry/src/request-reader.ts
@@ -4,7 +4,7 @@
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
 import * as apiPath from './api-path.js';
-import * as callerRights from './caller-rights.js';
+import * as callerAuthorization from './caller-authorization.js';
 import * as contentDigest from './content-digest.js';
 import * as prefixHashes from './prefix-hashes.js';
 import * as requestBody from './request-body.js';
@@ -96,9 +96,14 @@
   const tokenSha256 = hashToken(request);
   const service = target.kind === 'service' ? target.service : undefined;
   const { documents, services } = context;
-  const rights = callerRights.findRights(documents, services, service, tokenSha256);
-  if (rights.kind === 'refused') {
-    return refuse(rights.code);
+  const authorization = callerAuthorization.checkAuthorization(
+    documents,
+    services,
+    service,
+    tokenSha256,
+  );
+  if (authorization.kind === 'refused') {
+    return refuse(authorization.code);
   }
   const timeoutMs = parseTimeout(getHeader(request, 'x-request-timeout-ms'));
   if (timeoutMs === undefined) {
@@ -108,7 +113,7 @@
   if (!KEY_PATTERN.test(key)) {
     return refuse(ResultCode.KEY_INVALID);
   }
-  const { maxBodyBytes } = rights;
+  const { maxBodyBytes } = authorization;
   if (requestBody.isDeclaredTooLarge(request, maxBodyBytes)) {
     return refuse(ResultCode.BODY_TOO_LARGE);
   }
@@ -151,7 +156,7 @@
   if (!SERVICE_PATTERN.test(service)) {
     return refuse(ResultCode.UNKNOWN_SERVICE);
   }
-  const workspace = callerRights.findWorkspace(context.documents, service, tokenSha256);
+  const workspace = callerAuthorization.findWorkspace(context.documents, service, tokenSha256);
   const content = { workspace, method, path, contentType, payload };
   const arrived: core.ArrivedRequest = {
     callerId,
@@ -166,7 +171,7 @@
     contentDigest: contentDigest.computeDigest(context.digestKey, content),
     estimatedTokens: requestCost.estimateTokens(payload.length, body?.max_tokens),
     prefixHashes: prefixHashes.hashPromptPrefixes(body),
-    answerTokensBound: requestCost.readAnswerBound(body?.max_tokens),
+    maxAnswerTokens: requestCost.parseMaxTokens(body?.max_tokens),
   };
   return { kind: 'read', request: arrived };
 }
--- a/packages/entry/src/status.ts
+++ b/packages/entry/src/status.ts
@@ -49,7 +49,7 @@
     failureDomain: view.failureDomain,
     address: view.address,
     life: view.agentLife,
-    silentForMs: view.agentLife === '' ? 'never heard' : now - view.lastHeardMs,
+    silentForMs: view.agentLife === '' ? 'never heard' : now - view.lastReceivedMs,
     queued: view.load?.queued ?? 0,
     running: view.load?.running ?? 0,
     ownTokens: view.outstandingTokens,
