--- a/packages/core/src/entry/admission.test.ts
+++ b/packages/core/src/entry/admission.test.ts
@@ -18,40 +18,41 @@
 });
 
 nodeTest.test('content that crashed two engines', () => {
-  // The same content is sent again through this entry, which has only heard of
-  // its crashes. It is refused here and in the heartbeats to other agents.
+  // The same content arrives again through this entry, which knows of its crashes
+  // from an agent's report only. The entry refuses it and reports the crashes to
+  // other agents in heartbeats.
   const fixture = entryFixture.createFixture({ agents: ['a', 'b'] });
   const held = entryFixture.sendRequest(fixture, { contentDigest: 'poison' });
   const asked = entryFixture.getRequestId(fixture, held);
   const suspect = { contentDigest: 'poison', crashes: 2, lastCrashMs: fixture.now };
-  const news = entryFixture.report(fixture, 'a', {}, [suspect]);
+  const effects = entryFixture.report(fixture, 'a', {}, [suspect]);
   const caller = entryFixture.sendRequest(fixture, { contentDigest: 'poison' });
   assert.equal(entryFixture.findFailure(fixture, caller)?.code, ResultCode.CONTENT_REFUSED);
   assert.equal(entryFixture.findFailure(fixture, caller)?.runState, RunState.NOT_RUN);
-  // The one that waited already is refused when an agent has room for it.
+  // The request that was waiting already is refused when an agent grants it a slot.
   entryFixture.grant(fixture, 'b', asked);
   assert.equal(entryFixture.findFailure(fixture, held)?.code, ResultCode.CONTENT_REFUSED);
-  const heartbeats = entryFixture.listSent(news, 'heartbeat');
-  const told = heartbeats.find((sent) => sent.to === 'b')?.value.suspects ?? [];
+  const heartbeats = entryFixture.listSent(effects, 'heartbeat');
+  const reported = heartbeats.find((sent) => sent.to === 'b')?.value.suspects ?? [];
   assert.deepEqual(
-    told.map((one) => [one.contentDigest, one.crashes]),
+    reported.map((one) => [one.contentDigest, one.crashes]),
     [['poison', 2]],
   );
   const next = entryFixture.listSent(entryFixture.advance(fixture, 600), 'heartbeat');
   assert.deepEqual(next[0].value.suspects, []);
 });
 
-nodeTest.test('news of a crash goes ahead of the next offer', () => {
-  // A request crashes an engine and its caller sends it again at once, through
-  // this entry, to another backend server. That agent must know of the first
-  // crash when the offer comes, or it counts its own as the first and a third
-  // engine runs the content.
+nodeTest.test('a crash is reported before the next offer', () => {
+  // A request crashes an engine, and its caller immediately sends it again through
+  // this entry to another backend server. That agent must know of the first crash
+  // before the offer arrives. Otherwise it counts its own crash as the first, and a
+  // third engine runs the content.
   const fixture = entryFixture.createFixture({ agents: ['a', 'b'] });
   const suspect = { contentDigest: 'poison', crashes: 1, lastCrashMs: fixture.now };
   const sent = entryFixture.listSent(entryFixture.report(fixture, 'a', {}, [suspect]), 'heartbeat');
-  const told = sent.find((one) => one.to === 'b')?.value.suspects ?? [];
+  const reported = sent.find((one) => one.to === 'b')?.value.suspects ?? [];
   assert.deepEqual(
-    told.map((one) => [one.contentDigest, one.crashes]),
+    reported.map((one) => [one.contentDigest, one.crashes]),
     [['poison', 1]],
   );
   const again = entryFixture.report(fixture, 'a', {}, [suspect]);
@@ -59,9 +60,9 @@
 });
 
 nodeTest.test('no agent: links may still open, but not for long', () => {
-  // The entry has just started and a request comes before its first link is
-  // open. It waits; with no link after two seconds it is told at once, as is
-  // every request that comes later.
+  // A request arrives before the first link of a newly started entry is open. It
+  // waits. If there is no link after two seconds it fails, and later requests fail
+  // immediately.
   const fixture = entryFixture.createFixture({ agents: [] });
   const document = entryFixture.buildDocument(2, { agents: ['a'] });
   entryFixture.handle(fixture, { kind: 'documentRead', stored: { document, json: '{}' } });
@@ -77,10 +78,10 @@
   assert.deepEqual(entryFixture.listAsked(fixture, served), ['a']);
 });
 
-nodeTest.test('an overdue attempt that its agent does not account for', () => {
-  // The agent is paused with an offer. At the deadline it is asked to give the
-  // offer up; it stays silent and may start it when it wakes, so the caller is
-  // told that the request may have run.
+nodeTest.test('an overdue attempt that its agent does not report on', () => {
+  // An agent pauses while it holds an offer. At the deadline it is asked to
+  // withdraw the offer. It does not answer and may start the request when it
+  // resumes, so the caller must get "may have run".
   const fixture = entryFixture.createFixture({ agents: ['a'] });
   const caller = entryFixture.sendRequest(fixture, { timeoutMs: 1000 });
   entryFixture.grant(fixture, 'a', entryFixture.getRequestId(fixture, caller));
--- a/packages/core/src/entry/admission.ts
+++ b/packages/core/src/entry/admission.ts
@@ -1,4 +1,4 @@
-/** Decides whether a request is taken in, and with which rights. */
+/** Decides whether a request is admitted, and at which tier. */
 import * as schema from '@toucanproxy/schema';
 import * as documentIndex from '../shared/document-index.js';
 import * as keyTime from '../shared/key-time.js';
@@ -9,31 +9,38 @@
 import * as outcomes from './outcomes.js';
 import * as serviceState from './service-state.js';
 
-/** Seconds are for people; callers that meet a full entry come back after this. */
+/**
+ * Retry-after for callers that reach a limit of this entry, milliseconds. Callers
+ * receive it in whole seconds.
+ */
 const FULL_RETRY_AFTER_MS = 1000;
 
 type Admitted = { kind: 'admitted'; request: entryState.EntryRequest };
 type Rejected = { kind: 'rejected'; failure: outcomes.Failure };
-/** Not taken in, but an earlier call with its key may run. */
+/**
+ * Not admitted, but an earlier call with the same key may run, so the key has to
+ * be closed first.
+ */
 type Closing = { kind: 'closing'; request: entryState.EntryRequest; failure: outcomes.Failure };
 
-/** Longest key, characters. */
+/** Maximum length of a key, characters. */
 const MAX_KEY_LENGTH = 255;
-/** Requests of one entry whose keys are being claimed or closed, at most. */
+/** Maximum number of requests of one entry whose keys are being claimed or closed. */
 const MAX_CLAIMING = 4000;
 
 /**
  * Rejects a request without running it.
  *
- * The document may be missing or another one than an earlier call with the same
- * key met. That call may have run; its caller, told otherwise, would order again.
+ * The document may be missing, or differ from the one that applied to an earlier
+ * call with the same key. That call may have run. If its caller were told "not
+ * run", it would submit the same work again.
  */
 function reject(arrived: entryEvent.ArrivedRequest, code: schema.ResultCode): Rejected {
   const failure = arrived.key === '' ? outcomes.buildNotRun(code) : outcomes.buildMayHaveRun(code);
   return { kind: 'rejected', failure };
 }
 
-/** Computes when a request must be done, milliseconds since the Unix epoch. */
+/** Computes the deadline of a request, milliseconds since the Unix epoch. */
 function computeDeadline(
   state: entryState.EntryState,
   arrived: entryEvent.ArrivedRequest,
@@ -47,8 +54,8 @@
 type Authorization = { credential: schema.Credential; route: schema.Route };
 
 /**
- * Refuses requests that wait without a place and whose credential a newer
- * document has revoked. They were taken in by a document that was stale.
+ * Rejects waiting requests whose credential a newer document has revoked. They
+ * were admitted under a stale document.
  */
 export function checkWaiting(
   state: entryState.EntryState,
@@ -81,7 +88,7 @@
   );
 }
 
-/** Builds the record of a request that is taken in. */
+/** Builds the record of an admitted request. */
 function buildRequest(
   state: entryState.EntryState,
   given: entryEvent.ArrivedRequest,
@@ -129,8 +136,9 @@
 }
 
 /**
- * Says why a key cannot be used. A key that is ahead of the clocks could be
- * bound by one life of its home and then be taken by the next for a new one.
+ * Returns the failure of a key that cannot be used. A key issued ahead of the
+ * clocks could be bound by one incarnation of its home, and the next incarnation
+ * would take it for a new key.
  */
 function findKeyFault(
   state: entryState.EntryState,
@@ -142,13 +150,13 @@
   if (arrived.key.length > MAX_KEY_LENGTH || aheadMs > 2 * clockSkewMs) {
     return outcomes.buildNotRun(schema.ResultCode.KEY_INVALID);
   }
-  // An entry whose clock is ahead of this one's may have taken the key.
+  // An entry whose clock is ahead of this one's may have accepted the key.
   return aheadMs > clockSkewMs
     ? outcomes.buildMayHaveRun(schema.ResultCode.KEY_INVALID)
     : undefined;
 }
 
-/** Refuses a request that this call will not run. */
+/** Rejects a request that this call will not run; its key may have to be closed first. */
 function refuse(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -168,7 +176,7 @@
   return { kind: 'closing', request, failure };
 }
 
-/** Finds why a request with valid rights is not taken in now. */
+/** Returns why an authorized request is not admitted now; undefined if no limit applies. */
 function findAdmissionLimit(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -190,7 +198,7 @@
     : undefined;
 }
 
-/** Decides on an arrived request. The tier comes from its credential alone. */
+/** Decides on an arrived request. The tier depends on the credential alone. */
 export function admit(
   state: entryState.EntryState,
   arrived: entryEvent.ArrivedRequest,
--- a/packages/core/src/entry/agent-health.test.ts
+++ b/packages/core/src/entry/agent-health.test.ts
@@ -5,7 +5,7 @@
 const { Stage } = agentHealth;
 const NOW = 1_000_000;
 
-/** Makes a pool whose members each took a time for some requests. */
+/** Creates a pool in which each member took the given time for several requests. */
 function makePool(times: number[]): agentHealth.AgentHealth[] {
   return times.map((ms) => {
     const health = agentHealth.createAgentHealth();
@@ -28,9 +28,10 @@
   assert.equal(agentHealth.estimateRatio(pool[4], median, NOW), 6);
 });
 
-nodeTest.test('one that has become slow is ejected and comes back slowly', () => {
-  // An engine becomes eight times slower without a failure. It gets less work
-  // as soon as its times show, none for some seconds, then more little by little.
+nodeTest.test('one that has become slow is ejected and returns gradually', () => {
+  // An engine becomes eight times slower without a failure. Its estimate rises as
+  // soon as its durations show it, then it is ejected for some seconds, and then
+  // its share grows gradually.
   const pool = makePool([100, 100, 100, 100, 100]);
   const [slow] = pool;
   recordTimes(slow, 800, 2);
@@ -47,9 +48,9 @@
   assert.deepEqual(shares, [0.1, 0.5, 1]);
 });
 
-nodeTest.test('failures in a row eject, but only a part of the pool', () => {
-  // Every backend server fails. Ejecting all would leave none to serve, and
-  // ejecting half would put double load on the rest.
+nodeTest.test('consecutive failures eject, but only a part of the pool', () => {
+  // Every backend server fails. Ejecting all of them would leave none to serve, and
+  // ejecting half would double the load on the others.
   const pool = makePool([100, 100, 100, 100, 100, 100]);
   const ejected = pool.filter((health) => {
     [1, 2, 3].forEach(() => agentHealth.recordFailure(health));
@@ -58,7 +59,7 @@
   assert.equal(ejected.length, 2);
 });
 
-nodeTest.test('a success ends a row of failures', () => {
+nodeTest.test('a success resets the consecutive failures', () => {
   const pool = makePool([100, 100, 100]);
   [1, 2].forEach(() => agentHealth.recordFailure(pool[0]));
   recordTimes(pool[0], 100, 1);
@@ -66,9 +67,9 @@
   assert.equal(agentHealth.ejectOutlier(pool[0], pool, NOW), undefined);
 });
 
-nodeTest.test('what was seen of a slow one fades', () => {
-  // A slow backend server gets no work while others have room, so it shows no
-  // new times. It would never be tried again if its old ones were kept.
+nodeTest.test('the latency ratio of a slow one decays', () => {
+  // A slow backend server gets no work while others have room, so it shows no new
+  // durations. If its old ratio did not decay, it would never be tried again.
   const [slow] = makePool([900]);
   assert.equal(agentHealth.estimateRatio(slow, 1, NOW), 9);
   assert.ok(agentHealth.estimateRatio(slow, 1, NOW + 90_000) < 1.5);
--- a/packages/core/src/entry/agent-links.test.ts
+++ b/packages/core/src/entry/agent-links.test.ts
@@ -3,20 +3,20 @@
 import * as schema from '@toucanproxy/schema';
 import * as smallFleet from '../mocks/small-fleet.js';
 
-/** Longer than the silence after which links are given up, milliseconds. */
+/** Longer than the heartbeat timeout after which links are closed, milliseconds. */
 const SILENCE_MS = 3000;
 
-/** Gets the view that entry e1 has of an agent. */
+/** Returns the view that entry e1 has of an agent. */
 function getView(fleet: smallFleet.SmallFleet, agentId: string) {
   const view = fleet.entries.get('e1')?.agents.get(agentId);
   assert.ok(view);
   return view;
 }
 
-nodeTest.test('silent link', () => {
-  // Bytes between the two ends vanish while a request runs and no close comes.
-  // Both ends give the link up; the entry resumes over a new one and the
-  // caller gets the whole answer of the one run.
+nodeTest.test('partitioned link', () => {
+  // While a request runs, bytes in both directions are lost and neither end sees
+  // the connection close. Both ends must close the link. The entry resumes over a
+  // new one, and the caller gets the complete response of the only run.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
   fleet.isPartitioned = true;
@@ -31,8 +31,8 @@
 });
 
 nodeTest.test('agent moves to another address', () => {
-  // The VM of an agent is replaced and the document names the new address. The
-  // old process still answers; the entry must not keep its link to it.
+  // The VM of an agent is replaced, and the document names the new address. The old
+  // process still answers, but the entry must not keep its link to it.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   const stored = smallFleet.buildDocument(['a'], { version: 2 });
   stored.document.backendServers[0].address = 'elsewhere';
@@ -44,9 +44,9 @@
   assert.equal(getView(fleet, 'a').linked, true);
 });
 
-nodeTest.test('agent comes back after leaving', () => {
-  // An agent says that it leaves, and the lagging list names its VM for longer
-  // than that life lasts. Its next life takes work again.
+nodeTest.test('agent restarts after leaving', () => {
+  // An agent reports that it is leaving, and the lagging VM list names its VM for
+  // longer than that incarnation exists. The next incarnation must get work again.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   smallFleet.applyToAgent(fleet, 'a', { kind: 'shutdownStarted' });
@@ -63,8 +63,8 @@
 });
 
 nodeTest.test('listed before the link opened', () => {
-  // The list names a VM before this entry has met its agent. The first life
-  // that it meets is the one that the list is taken to mean.
+  // The list names a VM before this entry has linked to its agent. The list must be
+  // taken to refer to the first incarnation that connects.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   fleet.isPartitioned = true;
   smallFleet.advanceTime(fleet, SILENCE_MS);
@@ -77,8 +77,8 @@
 });
 
 nodeTest.test('link on demand closes when idle', () => {
-  // An entry keeps a link to one of two agents. A key whose home is the other
-  // opens a link for the claim; it is closed once nothing needs it.
+  // An entry keeps a link to one of two agents. A key whose home is the other agent
+  // opens a link for the claim, which must be closed once it is idle.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a', 'b']);
   const views = ['a', 'b'].map((id) => getView(fleet, id));
   const entry = fleet.entries.get('e1');
--- a/packages/core/src/entry/agent-links.ts
+++ b/packages/core/src/entry/agent-links.ts
@@ -1,4 +1,4 @@
-/** Links to agents: opening, heartbeats in both directions, resumption. */
+/** Links to agents: hello, heartbeats in both directions and resumption. */
 import * as schema from '@toucanproxy/schema';
 import * as documentStore from '../shared/document-store.js';
 import * as suspects from '../shared/suspects.js';
@@ -13,12 +13,12 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Opens links that are wanted and not open. */
+/** Opens links that are needed and not open. */
 export function openWanted(state: entryState.EntryState, now: number): Effects {
   return [...state.agents.values()].flatMap((view) => linkOpening.openIfWanted(view, now));
 }
 
-/** Says hello on a link that has opened. */
+/** Sends the hello on a link that has opened. */
 export function sendHello(
   state: entryState.EntryState,
   backendServerId: string,
@@ -46,7 +46,10 @@
     .filter((request) => request !== undefined);
 }
 
-/** Learns which life answers, and asks it for what this entry misses. */
+/**
+ * Records which incarnation of the agent answers, and asks it for everything that
+ * this entry has not received.
+ */
 export function acceptHello(
   state: entryState.EntryState,
   backendServerId: string,
@@ -59,8 +62,8 @@
   }
   requestAccounting.markLinked(state, view, now);
   view.suspectsSent = 0;
-  // What the platform's list said was of another life. The heartbeat that came
-  // before this hello has told whether the present one leaves.
+  // The platform's list referred to an earlier incarnation. The heartbeat that
+  // preceded this hello has reported whether the current one is leaving.
   if (view.agentLife !== '' && view.agentLife !== hello.agentLife) {
     view.listedLeaving = false;
     membership.updateLeaving(view);
@@ -81,7 +84,7 @@
   return [...resumes, ...claims, ...parking.retryParked(state, view, now)];
 }
 
-/** Takes in an agent's load, and asks for its document where it is newer. */
+/** Applies an agent's load report, and requests its document if that is newer. */
 export function handleHeartbeat(
   state: entryState.EntryState,
   backendServerId: string,
@@ -93,29 +96,30 @@
     return [];
   }
   view.load = heartbeat.load;
-  const learned = suspects.mergeSuspects(state.suspects, heartbeat.suspects, now);
-  const news = learned ? sendSuspects(state, now) : [];
+  const suspectsChanged = suspects.mergeSuspects(state.suspects, heartbeat.suspects, now);
+  const suspectUpdates = suspectsChanged ? sendSuspects(state, now) : [];
   view.reportedLeaving = heartbeat.load?.leaving ?? false;
   membership.updateLeaving(view);
   const conflict = documentStore.noteVersion(state.documents, heartbeat.document);
-  const theirs = heartbeat.document?.version ?? 0;
-  const newer = theirs > documentStore.getVersion(state.documents, view.service);
+  const agentVersion = heartbeat.document?.version ?? 0;
+  const newer = agentVersion > documentStore.getVersion(state.documents, view.service);
   const due =
-    newer && documentStore.noteNewerVersion(state.newerVersions, view.service, theirs, now);
+    newer && documentStore.noteNewerVersion(state.newerVersions, view.service, agentVersion, now);
   const request = schema.create(schema.DocumentRequestSchema, { service: view.service });
   const ask = due
     ? [entryMessages.sendToAgent(backendServerId, { case: 'documentRequest', value: request })]
     : [];
-  return [...news, ...conflict, ...ask, ...parking.retryParked(state, view, now)];
+  return [...suspectUpdates, ...conflict, ...ask, ...parking.retryParked(state, view, now)];
 }
 
 /**
- * Tells every agent of suspects at once.
+ * Sends new suspects to every agent at once.
  *
- * Content that crashed one engine may be sent again within milliseconds through
- * this entry. An agent that had not heard of the first crash would count its own
- * as the first, and a third engine would run the content. On each link the news
- * goes ahead of any offer that follows, so the agent knows before it starts it.
+ * Content that crashed one engine may be sent again through this entry within
+ * milliseconds. An agent that did not know of the first crash would count its own
+ * as the first, and a third engine would run the content. On each link the
+ * heartbeat precedes any later offer, so the agent knows of the suspect before it
+ * starts the content.
  */
 function sendSuspects(state: entryState.EntryState, now: number): Effects {
   return [...state.agents.values()]
@@ -123,7 +127,7 @@
     .flatMap((view) => sendHeartbeat(state, view, now));
 }
 
-/** Sends the document in force to an agent that asked for it. */
+/** Sends the active document to an agent that asked for it. */
 export function replyDocument(
   state: entryState.EntryState,
   backendServerId: string,
@@ -158,10 +162,11 @@
 }
 
 /**
- * Sends heartbeats that are due and gives up links that have gone silent.
+ * Sends heartbeats that are due, and closes links that have timed out or are no
+ * longer needed.
  *
- * A middlebox may have lost a connection while both ends think it open. The
- * agent keeps every answer until it is acknowledged, so giving up the link and
+ * A middlebox may have dropped a connection that both ends consider open. The
+ * agent keeps every response until it is acknowledged, so closing the link and
  * resuming over a new one repeats no run.
  */
 export function sendDueHeartbeats(state: entryState.EntryState, now: number): Effects {
--- a/packages/core/src/entry/agent-measurements.ts
+++ b/packages/core/src/entry/agent-measurements.ts
@@ -1,4 +1,4 @@
-/** Takes what this entry sees of its agents into their health. */
+/** Records what this entry observes of its agents: durations, costs, successes and failures. */
 import * as effect from '../shared/effect.js';
 import * as requestAccounting from './request-accounting.js';
 import * as agentHealth from './agent-health.js';
@@ -10,7 +10,7 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Ejects an agent whose health has become bad, and logs it. */
+/** Ejects an agent whose health has become bad, and logs the ejection. */
 function ejectIfUnhealthy(
   state: entryState.EntryState,
   agent: entryState.AgentView,
@@ -29,17 +29,17 @@
       ];
 }
 
-/** Finds the agent that holds a request. */
+/** Returns the agent that serves a request; undefined for a joined attempt. */
 function findServingAgent(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
 ): entryState.AgentView | undefined {
   const { target } = request;
-  // The times of a joined attempt are those of another call.
+  // The durations of a joined attempt are those of another call.
   return target?.joined === false ? state.agents.get(target.backendServerId) : undefined;
 }
 
-/** Notes how long a started request took to a stage. */
+/** Records how long a started request took to reach a stage. */
 export function recordDuration(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -63,7 +63,7 @@
   return ejectIfUnhealthy(state, agent, now);
 }
 
-/** Notes that the agent of a request failed it. */
+/** Records that the agent of a request failed it. */
 export function recordFailure(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -77,7 +77,7 @@
   return ejectIfUnhealthy(state, agent, now);
 }
 
-/** Learns what a request cost whose whole answer has come. */
+/** Records the cost and the duration of a request whose response is complete. */
 export function recordCompletion(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/assignment.ts
+++ b/packages/core/src/entry/assignment.ts
@@ -1,4 +1,4 @@
-/** Gives one request to one agent, or asks it for a place, as the policy says. */
+/** Assigns one request to one agent, or asks the agent for a slot, depending on the policy. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as suspects from '../shared/suspects.js';
@@ -13,7 +13,7 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Hands a waiting request to one agent. */
+/** Assigns a waiting request to one agent. */
 export function assignTo(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -41,8 +41,9 @@
   );
   requestAccounting.endWaiting(state, request);
   const released = reservations.releaseReservations(state, request, backendServerId);
-  const offered = attemptStart.offerTo(state, request, agent, now);
-  // What is being claimed can no longer be taken back by a shed.
+  const offered = attemptStart.startAttempt(state, request, agent, now);
+  // A request whose key is being claimed can no longer be withdrawn by load
+  // shedding.
   if (request.status !== entryState.RequestStatus.OFFERED) {
     requestAccounting.removeUnstarted(state, request);
   }
@@ -52,9 +53,9 @@
 
 /** Why one agent is asked without a choice among several. */
 export enum AssignmentReason {
-  /** It has room for a request that waited for it. */
+  /** The agent has room for a request that waited for it. */
   ROOM = 'room',
-  /** Less urgent work waits there, which it evicts. */
+  /** The agent has less urgent work in its queue, which it evicts. */
   EVICTS = 'evicts',
 }
 
--- a/packages/core/src/entry/attempt-reports.ts
+++ b/packages/core/src/entry/attempt-reports.ts
@@ -1,4 +1,4 @@
-/** Follows an offered request through its agent's messages to the caller's answer. */
+/** Applies an agent's reports about an attempt, and passes its response on to the caller. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as requestAccounting from './request-accounting.js';
@@ -41,17 +41,17 @@
   return held.length === 0 ? dropStaleMessage() : held.flatMap(apply);
 }
 
-/** Counts a message that belongs to no present attempt. */
+/** Counts a message that belongs to no current attempt. */
 export function dropStaleMessage(): Effects {
   return [effect.observe({ kind: 'dropped', reason: effect.DropReason.OLD_ATTEMPT })];
 }
 
-/** Tells whether an answer goes to the caller part by part. */
+/** Whether a response is forwarded to the caller part by part. */
 function isStreamed(request: entryState.EntryRequest): boolean {
   return request.head?.contentType.startsWith(EVENT_STREAM) ?? false;
 }
 
-/** Sends the head, once, when the first bytes follow. */
+/** Sends the response head, once, before the first bytes. */
 function sendHead(request: entryState.EntryRequest, now: number): Effects {
   const { head, arrived, requestId } = request;
   if (request.firstByteSent || head === undefined) {
@@ -66,7 +66,7 @@
   ];
 }
 
-/** Passes bytes on, or keeps them until an unstreamed answer is whole. */
+/** Forwards bytes, or buffers them until a response that is not streamed is complete. */
 function forwardData(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -87,7 +87,7 @@
   return [...recorded, ...sendHead(request, now), { kind: 'answerData', callerId, data }];
 }
 
-/** Ends an answer whose every part has come. */
+/** Ends a response of which every part has arrived. */
 function forwardEnd(state: entryState.EntryState, held: HeldAttempt, now: number): Effects {
   const { request, target } = held;
   const { callerId } = request.arrived;
@@ -110,7 +110,7 @@
   ];
 }
 
-/** Takes the next part of an answer; doubled and skipping parts are dropped. */
+/** Applies the next part of a response. Duplicate and out-of-order parts are dropped. */
 export function handlePart(
   state: entryState.EntryState,
   backendServerId: string,
@@ -122,7 +122,7 @@
   );
 }
 
-/** Takes the next part for one request. */
+/** Applies the next part to one request. */
 function applyPart(
   state: entryState.EntryState,
   held: HeldAttempt,
@@ -152,7 +152,7 @@
   }
 }
 
-/** Handles the agent's confirmation that an attempt never ran. */
+/** Handles an agent's confirmation that an attempt was not run. */
 export function handleNotRun(
   state: entryState.EntryState,
   backendServerId: string,
@@ -164,7 +164,7 @@
   );
 }
 
-/** Places one request elsewhere, or tells its caller that it was not run. */
+/** Places one request elsewhere, or fails it as not run. */
 function handleHeldNotRun(
   state: entryState.EntryState,
   held: HeldAttempt,
@@ -177,7 +177,8 @@
     request.deadlineRefusedBy.add(target.backendServerId);
   }
   const service = requestAccounting.getRequestService(state, request);
-  // It was taken back to make room, and the place that it leaves is for others.
+  // The request was withdrawn to make room for others, so it must not be placed
+  // again.
   const isShedVictim =
     service.withdrawnIds.has(request.requestId) &&
     !requestAccounting.hasLessUrgent(service, request.tierRank);
@@ -193,7 +194,7 @@
   return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
 }
 
-/** Handles the agent's report that an attempt did not complete. */
+/** Handles an agent's report that an attempt did not complete. */
 export function handleRunFailed(
   state: entryState.EntryState,
   backendServerId: string,
@@ -205,7 +206,7 @@
   );
 }
 
-/** Ends or repeats one request whose attempt did not complete. */
+/** Fails or retries one request whose attempt did not complete. */
 function handleHeldFailed(
   state: entryState.EntryState,
   held: HeldAttempt,
@@ -225,7 +226,7 @@
   ];
 }
 
-/** Notes that an attempt was started. */
+/** Records that an attempt was started. */
 export function handleStarted(
   state: entryState.EntryState,
   backendServerId: string,
--- a/packages/core/src/entry/attempt-start.ts
+++ b/packages/core/src/entry/attempt-start.ts
@@ -1,4 +1,4 @@
-/** Hands a request to the agent that was chosen for it. */
+/** Starts an attempt of a request on the agent that was chosen for it. */
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
@@ -6,10 +6,11 @@
 import * as offering from './offering.js';
 
 /**
- * Offers a request to one agent, under a new attempt number. A request with a
- * key is claimed first and offered once its homes have granted it.
+ * Offers a request to one agent under a new attempt number. If the request has a
+ * key, the key is claimed first, and the offer follows once its homes have
+ * granted the claim.
  */
-export function offerTo(
+export function startAttempt(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   agent: entryState.AgentView,
--- a/packages/core/src/entry/candidates.ts
+++ b/packages/core/src/entry/candidates.ts
@@ -1,4 +1,4 @@
-/** The agents that a request may go to, as this entry sees them. */
+/** The agents that a request may be placed on, as this entry sees them. */
 import * as rendezvous from '../shared/rendezvous.js';
 import * as agentHealth from './agent-health.js';
 import * as durationModel from './duration-model.js';
@@ -6,7 +6,7 @@
 import * as placement from './placement.js';
 import * as prefixLocations from './prefix-locations.js';
 
-/** Rough length of a token in bytes of text. */
+/** Approximate length of a token, bytes of text. */
 const BYTES_PER_TOKEN = 4;
 
 /** Lists the agents of a service with an open link. */
@@ -17,20 +17,23 @@
     .filter((agent) => agent.linked);
 }
 
-/** Tells whether an agent may be given new work. */
+/** Whether an agent may get new work. */
 export function isUsable(agent: entryState.AgentView): boolean {
   return agent.linked && agent.kept && !agent.leaving;
 }
 
-/** Lists the agents of a service that may be given new work; ejected ones only where all are. */
+/**
+ * Lists the agents of a service that may get new work. Ejected ones are included
+ * only if all are ejected.
+ */
 export function listUsable(
   state: entryState.EntryState,
   service: string,
   now: number,
 ): entryState.AgentView[] {
   const usable = listLinked(state, service).filter(isUsable);
-  const sound = usable.filter((agent) => !agentHealth.isEjected(agent.health, now));
-  return sound.length > 0 ? sound : usable;
+  const healthy = usable.filter((agent) => !agentHealth.isEjected(agent.health, now));
+  return healthy.length > 0 ? healthy : usable;
 }
 
 /** Lists the health of the linked agents of a service. */
@@ -41,7 +44,10 @@
   return listLinked(state, service).map((agent) => agent.health);
 }
 
-/** Finds where a prefix goes that noAgent remembers, the same on every entry. */
+/**
+ * Returns the backend server that gets a prefix of unknown location. The choice
+ * is the same on every entry.
+ */
 function findPreferred(
   request: entryState.EntryRequest,
   agents: readonly entryState.AgentView[],
@@ -54,7 +60,7 @@
   return rendezvous.rankByRendezvous(`${request.workspace}/${firstHash}`, ids)[0] ?? '';
 }
 
-/** Describes agents for a choice. */
+/** Describes agents as candidates for placement. */
 export function listCandidates(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/cost-model.ts
+++ b/packages/core/src/entry/cost-model.ts
@@ -1,19 +1,19 @@
-/** Answer lengths learned per class of request by moving average. */
+/** Learns the response length of each request class as a moving average. */
 
 type CostAverage = { answerTokens: number; samples: number };
 
-/** Averages by class. */
+/** Averages by request class. */
 export type CostModel = Map<string, CostAverage>;
 
-/** Weight of one answer once the average has settled. */
+/** Weight of one response once the average has settled. */
 const SETTLED_WEIGHT = 0.05;
-/** Answers before the average is trusted. */
+/** Number of responses before the average is used. */
 const MIN_SAMPLES = 3;
-/** Rough length of a token in bytes of text. */
+/** Approximate length of a token, bytes of text. */
 const BYTES_PER_TOKEN = 4;
 const LINE_FEED = 10;
 
-/** Takes in the length of a whole answer, tokens. */
+/** Records the length of a complete response, tokens. */
 export function recordResponse(model: CostModel, className: string, answerTokens: number): void {
   const average = model.get(className) ?? { answerTokens: 0, samples: 0 };
   average.samples += 1;
@@ -23,10 +23,11 @@
 }
 
 /**
- * Estimates prompt and answer together, tokens.
+ * Estimates the tokens of prompt and response together.
  *
- * @param fallback the estimate where nothing has been learned
- * @param maxAnswerTokens the caller's own bound on the answer; 0 where it gave none
+ * @param fallback the estimate if nothing has been learned yet
+ * @param maxAnswerTokens the caller's limit on the response length; 0 if it gave
+ *   none
  */
 export function estimateTokens(
   model: CostModel,
@@ -44,7 +45,7 @@
   return Math.ceil(promptBytes / BYTES_PER_TOKEN + answer);
 }
 
-/** Counts the blank lines in a piece of an event stream; each ends one event. */
+/** Counts the blank lines in a chunk of an event stream; each one ends an event. */
 function countBlankLines(data: Uint8Array): number {
   let count = 0;
   for (let index = data.indexOf(LINE_FEED); index !== -1;) {
@@ -56,7 +57,10 @@
   return count;
 }
 
-/** Counts the tokens in a piece of an answer: engines send an event for each. */
+/**
+ * Counts the tokens in a chunk of a response. Engines send one event for each
+ * token of a stream.
+ */
 export function countResponseTokens(data: Uint8Array, streamed: boolean): number {
   return streamed ? countBlankLines(data) : data.length / BYTES_PER_TOKEN;
 }
--- a/packages/core/src/entry/deadlines.ts
+++ b/packages/core/src/entry/deadlines.ts
@@ -1,4 +1,4 @@
-/** What happens when something is due for a request, or its caller has gone. */
+/** Handles requests for which an action is due, and callers that disconnect. */
 import * as schema from '@toucanproxy/schema';
 import * as priorityHeap from '../shared/priority-heap.js';
 import * as requestAccounting from './request-accounting.js';
@@ -13,22 +13,22 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Tells the agent that noAgent waits for an attempt any more, where that is so. */
+/** Cancels an attempt at its agent, unless another request still reads its response. */
 function sendCancel(state: entryState.EntryState, target: entryState.Target): Effects {
   return heldAttempts.isShared(state, target)
     ? []
     : [entryMessages.sendToAgent(target.backendServerId, entryMessages.buildCancel(target))];
 }
 
-/** Gives up an overdue attempt. */
+/** Fails a request whose attempt is overdue. */
 function failOffer(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   target: entryState.Target,
   now: number,
 ): Effects {
-  // Time alone says nothing about the agent: it may be paused and start the
-  // request when it wakes. Only its own word turns into "not run".
+  // A timeout proves nothing about the agent: it may be paused, and start the
+  // request when it resumes. Only the agent's own report can establish "not run".
   const failure = target.started
     ? outcomes.buildRan(schema.ResultCode.DEADLINE_EXCEEDED)
     : outcomes.buildMayHaveRun(schema.ResultCode.LINK_LOST);
@@ -37,7 +37,7 @@
   return [...cancel, ...recorded, ...outcomes.fail(state, request, failure, now)];
 }
 
-/** Asks the agent what became of an overdue attempt, or gives up waiting for it. */
+/** Asks the agent to withdraw an overdue attempt, or fails the request after the grace period. */
 function handleOverdueOffer(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -45,7 +45,7 @@
   now: number,
 ): Effects {
   const asked = target.withdrawnMs !== 0;
-  // A joined attempt belongs to another call, whose time may not be up.
+  // A joined attempt belongs to another call, whose deadline may not have passed.
   const waits = !asked || now - target.withdrawnMs < requestAccounting.WITHDRAW_GRACE_MS;
   if (target.started || target.joined || !waits) {
     return failOffer(state, request, target, now);
@@ -57,7 +57,7 @@
     : [entryMessages.sendToAgent(target.backendServerId, entryMessages.buildWithdraw(target))];
 }
 
-/** Ends a request whose time is up. */
+/** Fails a request whose deadline has passed. */
 function handleOverdue(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -72,7 +72,7 @@
   return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
 }
 
-/** Does what is due for one request. */
+/** Performs the action that is due for one request. */
 function handleDue(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -92,7 +92,7 @@
   return [];
 }
 
-/** Does what is due by now, at a cost that grows with that alone. */
+/** Performs all actions that are due. The cost depends only on their number. */
 export function handleAllDue(state: entryState.EntryState, now: number): Effects {
   return priorityHeap.takeUpTo(state.due, now).flatMap((requestId) => {
     const request = state.requests.get(requestId);
@@ -100,7 +100,7 @@
   });
 }
 
-/** Handles a caller that closed its connection before the answer ended. */
+/** Handles a caller that disconnected before its response ended. */
 export function handleCallerLeft(
   state: entryState.EntryState,
   callerId: number,
--- a/packages/core/src/entry/dispatch.ts
+++ b/packages/core/src/entry/dispatch.ts
@@ -1,4 +1,4 @@
-/** Finds agents for requests that wait. */
+/** Places waiting requests on agents. */
 import * as effect from '../shared/effect.js';
 import * as requestAccounting from './request-accounting.js';
 import * as assignment from './assignment.js';
@@ -17,7 +17,7 @@
   { kind: K }
 >;
 
-/** Logs a decision with what it was taken from. */
+/** Logs a placement decision together with its inputs. */
 function logPlacement(
   event: string,
   request: entryState.EntryRequest,
@@ -39,7 +39,7 @@
   });
 }
 
-/** Builds what a choice may use besides the candidates. */
+/** Builds the inputs of a placement other than the candidates. */
 function buildContext(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -72,7 +72,7 @@
   return [line, ...assignment.assignTo(state, request, agent, now)];
 }
 
-/** Asks agents for a place; one more than before where some were asked already. */
+/** Asks agents for a slot. If some have already been asked, one more is asked. */
 function reservePlaces(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -99,7 +99,7 @@
   ];
 }
 
-/** Finds agents for one waiting request. */
+/** Places one waiting request. */
 export function place(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -125,7 +125,7 @@
     : reservePlaces(state, request, parking.listWithRoom(state, eligible, request), strategy, now);
 }
 
-/** Takes in a new request: what gives strategy for it is decided first. */
+/** Adds a new request and places it, after load shedding has made room. */
 export function placeNew(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -141,7 +141,7 @@
   return [...shed, ...placed];
 }
 
-/** Asks for a place in the stead of one that was lost. */
+/** Asks for another slot in place of one that was lost. */
 export function askAgain(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -151,7 +151,7 @@
   return waits ? place(state, request, now) : [];
 }
 
-/** Puts a request that was not run back to waiting and tries other agents. */
+/** Returns a request that was not run to waiting, and tries other agents. */
 export function placeAgain(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -164,7 +164,7 @@
   ];
 }
 
-/** Tells whether a held request waits with no agent asked. */
+/** Whether a held request waits without any agent having been asked. */
 function isIdle(state: entryState.EntryState, request: entryState.EntryRequest): boolean {
   return (
     state.requests.has(request.requestId) &&
@@ -173,7 +173,7 @@
   );
 }
 
-/** Puts a request back to waiting, without its last target. */
+/** Returns a request to waiting, without its last attempt. */
 export function resetToWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/duration-model.ts
+++ b/packages/core/src/entry/duration-model.ts
@@ -1,27 +1,27 @@
 /**
- * How long requests of a kind usually take, over all backend servers.
+ * Expected duration of a request by class and cost, over all backend servers.
  *
- * A backend server's times are compared with these and not with each other:
- * lengths differ a hundredfold, and one that happened to get the long requests
- * would look slow.
+ * The durations of one backend server are compared with these, not directly with
+ * those of another. Response lengths differ by a factor of a hundred, so a
+ * backend server that happened to get the long requests would look slow.
  */
 
 type Duration = { ms: number; samples: number };
 
-/** Averages by kind of request. */
+/** Averages by stage, class and approximate cost. */
 export type DurationModel = Map<string, Duration>;
 
-/** Weight of one time once the average has settled. */
+/** Weight of one duration once the average has settled. */
 const SETTLED_WEIGHT = 0.02;
-/** Times before the average is trusted. */
+/** Number of durations before the average is used. */
 const MIN_SAMPLES = 5;
 
-/** Builds the key of requests of one class and about the same cost. */
+/** Builds the key of requests of one class with similar cost. */
 function toClassKey(stage: string, className: string, tokens: number): string {
   return `${stage} ${className} ${Math.floor(Math.log2(Math.max(tokens, 1)))}`;
 }
 
-/** Gets the usual time, milliseconds; 0 while too little is known. */
+/** Returns the expected duration, milliseconds; 0 while there are too few samples. */
 export function estimateDuration(
   model: DurationModel,
   stage: string,
@@ -32,7 +32,7 @@
   return known !== undefined && known.samples >= MIN_SAMPLES ? known.ms : 0;
 }
 
-/** Takes in the time of one request. */
+/** Records the duration of one request. */
 export function recordDuration(
   model: DurationModel,
   stage: string,
--- a/packages/core/src/entry/entry-event.ts
+++ b/packages/core/src/entry/entry-event.ts
@@ -1,31 +1,34 @@
-/** What can happen to an entry, and what it asks of its daemon. */
+/** Events that an entry handles, and effects that its daemon carries out. */
 import * as schema from '@toucanproxy/schema';
 import * as documentStore from '../shared/document-store.js';
 import * as effect from '../shared/effect.js';
 
-/** A caller's request after its daemon has read it whole. */
+/** A caller's request, after the daemon has read it completely. */
 export type ArrivedRequest = {
-  /** Handle of the caller's connection, chosen by the daemon. */
+  /** Handle of the caller's request, chosen by the daemon. */
   callerId: number;
   service: string;
   method: string;
-  /** Path below the service, query included. */
+  /** Path below the service, including the query. */
   path: string;
   contentType: string;
   payload: Uint8Array;
-  /** SHA-256 of the bearer token, hexadecimal; empty where there was none. */
+  /** SHA-256 of the bearer token in hexadecimal; empty if there was none. */
   tokenSha256: string;
-  /** The caller's Idempotency-Key; empty where there was none. */
+  /** The caller's Idempotency-Key; empty if there was none. */
   key: string;
-  /** Time the caller allows, milliseconds; 0 where it named none. */
+  /** The caller's timeout in milliseconds; 0 if it gave none. */
   timeoutMs: number;
-  /** Keyed digest of workspace and content, hexadecimal. */
+  /** Keyed digest of workspace and content in hexadecimal. */
   contentDigest: string;
-  /** Estimated cost in tokens, prompt and answer. */
+  /** Estimated cost of prompt and response, tokens. */
   estimatedTokens: number;
-  /** Hashes of leading pieces of the prompt, the shortest first; each piece is twice as long. */
+  /**
+   * Hashes of prompt prefixes, the shortest first; each prefix is twice as long as
+   * the one before.
+   */
   prefixHashes: number[];
-  /** The caller's own bound on the answer, tokens; 0 or absent where it gave none. */
+  /** The caller's limit on the response length, tokens; 0 or absent if it gave none. */
   maxAnswerTokens?: number;
 };
 
--- a/packages/core/src/entry/entry-messages.ts
+++ b/packages/core/src/entry/entry-messages.ts
@@ -11,7 +11,7 @@
   return { kind: 'sendToAgent', backendServerId, message };
 }
 
-/** Builds the offer of a request to its target. */
+/** Builds the offer of a request to the agent chosen for it. */
 export function buildOffer(request: entryState.EntryRequest, target: entryState.Target): Body {
   const { arrived } = request;
   const offer = schema.create(schema.OfferSchema, {
@@ -34,7 +34,7 @@
   return { case: 'offer', value: offer };
 }
 
-/** Builds the question for a place, without the request itself. */
+/** Builds the message that asks for a slot; it does not carry the request itself. */
 export function buildReserve(request: entryState.EntryRequest): Body {
   const { arrived } = request;
   const reserve = schema.create(schema.ReserveSchema, {
@@ -49,12 +49,12 @@
   return { case: 'reserve', value: reserve };
 }
 
-/** Builds the notice that a place is no longer needed. */
+/** Builds the message that releases a slot that is no longer needed. */
 export function buildRelease(requestId: string): Body {
   return { case: 'release', value: schema.create(schema.ReleaseSchema, { requestId }) };
 }
 
-/** Builds the question for the parts that an entry misses. */
+/** Builds the message that asks for the response parts that the entry has not received. */
 export function buildResume(request: entryState.EntryRequest, target: entryState.Target): Body {
   const resume = schema.create(schema.ResumeSchema, {
     ref: target.ref,
@@ -66,20 +66,20 @@
   return { case: 'resume', value: resume };
 }
 
-/** Builds the question for a confirmation that an attempt will not run. */
+/** Builds the message that asks for a confirmation that an attempt will not run. */
 export function buildWithdraw(target: entryState.Target): Body {
   const { ref, agentLife, issuedMs } = target;
   const value = schema.create(schema.WithdrawSchema, { ref, agentLife, issuedMs });
   return { case: 'withdraw', value };
 }
 
-/** Builds the notice that the entry no longer wants an attempt. */
+/** Builds the message that cancels an attempt whose response nobody reads any more. */
 export function buildCancel(target: entryState.Target): Body {
   const { ref, issuedMs } = target;
   return { case: 'cancel', value: schema.create(schema.CancelSchema, { ref, issuedMs }) };
 }
 
-/** Builds the acknowledgement of the parts received so far. */
+/** Builds the acknowledgement of the response parts received so far. */
 export function buildAcknowledge(target: entryState.Target): Body {
   const { ref, nextSequence } = target;
   const value = schema.create(schema.AcknowledgeSchema, { ref, nextSequence });
--- a/packages/core/src/entry/entry-policy.ts
+++ b/packages/core/src/entry/entry-policy.ts
@@ -1,38 +1,50 @@
-/** Behaviour of an entry that varies, handed in by its daemon, a test or a measurement. */
+/**
+ * The replaceable part of an entry's behavior, passed in by the daemon, a test or
+ * a measurement.
+ */
 import * as placement from './placement.js';
 
-/** How a request finds its backend server. */
+/** How the backend server of a request is chosen. */
 export type PlacementStrategy =
-  /** The whole request is sent to one backend server, which queues it. */
+  /** The complete request is sent to one backend server, which queues it. */
   | { kind: 'push'; choose: placement.ChooseBackendServer }
-  /** Late binding: places are asked for, and the first grant gets the request. */
+  /**
+   * Late binding: several backend servers are asked for a slot, and the first to
+   * grant one gets the request.
+   */
   | { kind: 'reserve'; plan: placement.PlanReservations; reservationCount: number };
 
 export type EntryPolicy = {
   strategy: PlacementStrategy;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   drawRandom: () => number;
 };
 
-/** Backend servers asked at once under late binding. */
+/** Backend servers that are asked at the same time under late binding. */
 const DEFAULT_RESERVATION_COUNT = 3;
 
-/** Creates the policy that pushes to backend servers in turn. */
+/** Creates the policy that pushes to backend servers in round-robin order. */
 export function createRoundRobinPolicy(drawRandom: () => number): EntryPolicy {
   return { strategy: { kind: 'push', choose: placement.chooseRoundRobin }, drawRandom };
 }
 
-/** Creates the policy that pushes to the better of two by reported load. */
+/**
+ * Creates the policy that pushes to the less loaded of two random backend
+ * servers, by reported load.
+ */
 export function createBetterOfTwoPolicy(drawRandom: () => number): EntryPolicy {
   return { strategy: { kind: 'push', choose: placement.choosePowerOfTwoChoices }, drawRandom };
 }
 
-/** Creates the policy that pushes by own outstanding tokens over measured speed. */
+/**
+ * Creates the policy that pushes to the backend server that has least work from
+ * this entry, relative to its measured speed.
+ */
 export function createLeastOutstandingPolicy(drawRandom: () => number): EntryPolicy {
   return { strategy: { kind: 'push', choose: placement.chooseLeastOutstanding }, drawRandom };
 }
 
-/** Creates the policy of late binding, the default. */
+/** Creates the default policy, late binding. */
 export function createLateBindingPolicy(
   drawRandom: () => number,
   reservationCount = DEFAULT_RESERVATION_COUNT,
--- a/packages/core/src/entry/entry-state.ts
+++ b/packages/core/src/entry/entry-state.ts
@@ -1,4 +1,4 @@
-/** The state that one entry task owns. */
+/** The state of one entry. Only the entry's task changes it. */
 import * as schema from '@toucanproxy/schema';
 import * as documentStore from '../shared/document-store.js';
 import * as documentTiming from '../shared/document-timing.js';
@@ -12,31 +12,43 @@
 import type * as outcomes from './outcomes.js';
 import * as serviceState from './service-state.js';
 
-/** The one agent that an attempt was handed to. */
+/** The agent that currently holds a request, and the attempt there. */
 export type Target = {
   backendServerId: string;
   agentLife: string;
   ref: schema.AttemptRef;
-  /** Issue time of the attempt, milliseconds. */
+  /**
+   * When the request of the attempt arrived at its entry, milliseconds since the
+   * Unix epoch. Agents refuse offers that are older than the key window.
+   */
   issuedMs: number;
-  /** Another call with the same key started this attempt; this one reads its answer. */
+  /**
+   * The attempt was started by another call with the same key; this call only reads
+   * its response.
+   */
   joined: boolean;
-  /** Sequence number of the answer part that comes next. */
+  /** Sequence number of the response part that is expected next. */
   nextSequence: number;
-  /** The agent said that it started the attempt. */
+  /** The agent has reported that it started the attempt. */
   started: boolean;
-  /** When the entry asked for a confirmation that it did not run; 0 if never. */
+  /**
+   * When the entry asked the agent to withdraw the attempt, milliseconds since the
+   * Unix epoch; 0 if never.
+   */
   withdrawnMs: number;
 };
 
 export enum RequestStatus {
-  /** No agent holds it. */
+  /** No agent holds the request. */
   WAITING = 'waiting',
-  /** One agent holds it, and only that agent says what became of it. */
+  /**
+   * One agent holds the request. Only a report of that agent decides what became of
+   * the attempt.
+   */
   OFFERED = 'offered',
-  /** Its key is being claimed for an attempt that is not offered yet. */
+  /** The request's key is being claimed for an attempt that has not been offered yet. */
   CLAIMING = 'claiming',
-  /** Given up; its key is being closed so that its caller can be told. */
+  /** The request has failed. Its key is being closed before its caller gets the failure. */
   CLOSING = 'closing',
 }
 
@@ -53,92 +65,110 @@
   status: RequestStatus;
   attempts: number;
   target: Target | undefined;
-  /** The claim in progress for its key. */
+  /** The claim of the request's key that is in progress. */
   claim: keyClaim.KeyClaim | undefined;
-  /** Attempts of its key that were confirmed as not run, or may be repeated. */
+  /**
+   * Attempts of the request's key that were confirmed as not run, or that the route
+   * allows to be repeated. A home may replace their binding.
+   */
   replaceable: schema.AttemptRef[];
-  /** Why it was given up, while its key is being closed. */
+  /** The failure that is reported once the key has been closed. */
   pendingFailure: outcomes.Failure | undefined;
   claimRounds: number;
-  /** Its homes could not decide; it may be repeated and goes on without. */
+  /**
+   * The homes of the key could not decide. The route allows repeats, so the request
+   * continues without a claim.
+   */
   claimSkipped: boolean;
-  /** Backend servers that refused the request since it began to wait. */
+  /** Backend servers that have refused the request since it began to wait. */
   refusedBy: Set<string>;
   head: schema.AnswerHead | undefined;
-  /** Parts of an answer that is not streamed, until it is whole. */
+  /** Parts of a response that is not streamed, buffered until it is complete. */
   bufferedParts: Uint8Array[];
   firstByteSent: boolean;
-  /** Class of its cost: route and tier. */
+  /** Cost class: route and tier. */
   className: string;
-  /** Backend servers that were asked for a place and have not refused. */
+  /** Backend servers that were asked for a slot and have not refused it. */
   reservedAt: Set<string>;
-  /** When one more backend server is asked, milliseconds since the Unix epoch. */
+  /** When one more backend server is asked for a slot, milliseconds since the Unix epoch. */
   nextAskAtMs: number;
-  /** Pause before a repeat ends at this time; 0 where there is none. */
+  /**
+   * When the backoff before a retry ends, milliseconds since the Unix epoch; 0 if
+   * there is none.
+   */
   retryAtMs: number;
-  /** What is known of the attempts before the present one. */
+  /** Combined run state of the attempts before the current one. */
   earlierRunState: schema.RunState;
-  /** Backend servers that cannot end it in time, as they said since it began to wait. */
+  /**
+   * Backend servers that have reported, since the request began to wait, that they
+   * cannot complete it before its deadline.
+   */
   deadlineRefusedBy: Set<string>;
-  /** Attempts that were repeated after a run. */
+  /** Retries after an attempt that had, or may have, run. */
   retries: number;
-  /** Attempts during which an engine crashed. */
+  /** Attempts during which the engine crashed. */
   crashes: number;
-  /** When the present attempt started; 0 where that is not known. */
+  /** When the current attempt started, milliseconds since the Unix epoch; 0 if unknown. */
   startedMs: number;
-  /** Tokens of the answer so far, counted. */
+  /** Response tokens received so far. */
   answerTokens: number;
 };
 
-/** A backend server as this entry sees it. */
+/** What the entry knows of one backend server and its agent. */
 export type AgentView = {
   backendServerId: string;
   service: string;
   address: string;
   failureDomain: string;
-  /** An open link over which the agent has said which life it is. */
+  /** The link is open and the agent has sent its hello. */
   linked: boolean;
   opening: boolean;
   agentLife: string;
   lifeBeganMs: number;
-  /** Takes no new work, for one of the three reasons that follow. */
+  /** The agent gets no new work, for at least one of the three reasons below. */
   leaving: boolean;
-  /** The document in force says so. */
+  /** The active document marks the backend server as leaving or no longer names it. */
   documentLeaving: boolean;
-  /** This life of the agent has said so. */
+  /** The current incarnation of the agent has reported that it is leaving. */
   reportedLeaving: boolean;
-  /** The platform's list says so; it lags, and does not know of a later life. */
+  /**
+   * The platform's VM list marks the backend server as leaving. The list lags
+   * behind and does not know of a later incarnation.
+   */
   listedLeaving: boolean;
-  /** The life that the list was first seen to name; undefined while it names none. */
+  /**
+   * The agent incarnation when the list first named the VM; undefined while the
+   * list does not name it.
+   */
   listedLife: string | undefined;
   lastReceivedMs: number;
   lastSentMs: number;
   heartbeatsSent: number;
   load: schema.AgentLoad | undefined;
-  /** Estimated tokens of this entry's own requests there. */
+  /** Estimated tokens of this entry's own requests at the backend server. */
   outstandingTokens: number;
   nextOpenMs: number;
-  /** Requests whose target it is. */
+  /** Requests that the agent holds. */
   heldIds: Set<string>;
-  /** Requests that asked it for a place. */
+  /** Requests for which the agent was asked for a slot. */
   reservedIds: Set<string>;
   health: agentHealth.AgentHealth;
-  /** Revision of the suspects that it was last sent. */
+  /** Revision of the suspect list that was last sent to the agent. */
   suspectsSent: number;
-  /** One of the links that this entry keeps; others are opened on demand. */
+  /** Link selection chose this link. Other links are opened on demand. */
   kept: boolean;
-  /** When a link on demand was last needed, milliseconds; 0 if never. */
+  /** When a link on demand was last needed, milliseconds since the Unix epoch; 0 if never. */
   lastNeededMs: number;
 };
 
-/** What is left to do for a request once the present event has been applied. */
+/** An action for one request that is deferred until the current event has been applied. */
 export type FollowUp = { kind: 'place' | 'ask' | 'close'; requestId: string };
 
 export type EntryState = {
   entryId: string;
   life: string;
   failureDomain: string;
-  /** Links kept for each service. */
+  /** Number of links that are kept for each service. */
   linksPerService: number;
   policy: entryPolicy.EntryPolicy;
   nextSerial: number;
@@ -148,15 +178,18 @@
   /** Requests whose keys are being claimed or closed. */
   claiming: Set<string>;
   followUps: FollowUp[];
-  /** Requests that read the answer of another call's attempt, by its reference. */
+  /** Requests that read the response of another call's attempt, by attempt reference. */
   joins: Map<string, Set<string>>;
-  /** The newest version that a peer has shown, by service. */
+  /** The newest document version that a peer has reported, by service. */
   newerVersions: documentStore.NewerVersions;
-  /** When this process first saw a backend server declared gone, milliseconds. */
+  /**
+   * When this process first saw a backend server declared gone, milliseconds since
+   * the Unix epoch.
+   */
   goneSeenMs: Map<string, number>;
   agents: Map<string, AgentView>;
   services: Map<string, serviceState.ServiceState>;
-  /** When something is due for each request, milliseconds since the Unix epoch. */
+  /** When the next action is due for each request, milliseconds since the Unix epoch. */
   due: priorityHeap.PriorityHeap;
   suspects: suspects.Suspects;
   shutdownStarted: boolean;
@@ -167,11 +200,11 @@
   entryId: string;
   life: string;
   failureDomain: string;
-  /** Links kept for each service; the default where left out. */
+  /** Number of links that are kept for each service; a default applies where it is absent or 0. */
   linksPerService?: number;
 };
 
-/** Creates the state of an entry whose process has just started. */
+/** Creates the state of an entry process that has just started. */
 export function createEntryState(
   identity: EntryIdentity,
   policy: entryPolicy.EntryPolicy,
@@ -198,7 +231,7 @@
   };
 }
 
-/** Gets the document of a service, if one is in force. */
+/** Returns the active document of a service, if there is one. */
 export function getDocument(
   state: EntryState,
   service: string,
@@ -206,7 +239,7 @@
   return state.documents.get(service)?.document;
 }
 
-/** Gets the state of a service, made where there is none. */
+/** Returns the state of a service, which is created at first use. */
 export function getService(state: EntryState, service: string): serviceState.ServiceState {
   const known = state.services.get(service) ?? serviceState.createServiceState(service);
   state.services.set(service, known);
@@ -214,11 +247,12 @@
 }
 
 /**
- * Tells whether an entry knows of a newer document that it is about to get.
+ * Whether the entry knows of a newer document that it is about to receive.
  *
- * A process that has just started may have been given a stale document by the
- * configuration service. It places nothing by it while a peer is sending the
- * newer one; bounded, since the newer one may be faulty for this process.
+ * The configuration service may have given a process that has just started a
+ * stale document. The process must not place requests by it while a peer is
+ * sending the newer one. The wait is bounded, because this process may find the
+ * newer document faulty.
  */
 export function isDocumentOutdated(state: EntryState, service: string, now: number): boolean {
   const newer = state.newerVersions.get(service);
@@ -227,12 +261,12 @@
   return waits && now - newer.firstSeenMs <= documentStore.DOCUMENT_REPLY_TIMEOUT_MS;
 }
 
-/** Gets the timing of a service. */
+/** Returns the timing of a service. */
 export function getTiming(state: EntryState, service: string): documentTiming.Timing {
   return state.services.get(service)?.index?.timing ?? documentTiming.DEFAULT_TIMING;
 }
 
-/** Gets the limits of a service. */
+/** Returns the limits of a service. */
 export function getLimits(state: EntryState, service: string): documentTiming.Limits {
   return state.services.get(service)?.index?.limits ?? documentTiming.DEFAULT_LIMITS;
 }
--- a/packages/core/src/entry/grants.ts
+++ b/packages/core/src/entry/grants.ts
@@ -1,4 +1,4 @@
-/** Late binding: what agents say of the places they were asked for. */
+/** Late binding: handles agents' grants and refusals of slots. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as agentHealth from './agent-health.js';
@@ -11,10 +11,10 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Refusals for want of room in the agent's queue. */
+/** Refusals because the agent's queue is full. */
 const FULL_CODES = new Set([schema.ResultCode.QUEUE_FULL, schema.ResultCode.EVICTED]);
 
-/** Finds a request that waits and is not in the pause before a repeat. */
+/** Returns a request that is waiting and not in backoff before a retry. */
 function findWaiting(
   state: entryState.EntryState,
   requestId: string,
@@ -25,7 +25,7 @@
   return waits ? request : undefined;
 }
 
-/** Tells whether a granted place should go unused. */
+/** Whether a granted slot should be released unused. */
 function isUnwanted(
   request: entryState.EntryRequest,
   agent: entryState.AgentView,
@@ -35,7 +35,7 @@
   return !candidates.isUsable(agent) || (others && agentHealth.isEjected(agent.health, now));
 }
 
-/** Takes a reservation as refused and asks further agents where none is left. */
+/** Records a refused slot, and asks further agents where needed. */
 function handleSlotRefused(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -48,10 +48,10 @@
 }
 
 /**
- * Hands a request to the first agent that has a place for it.
+ * Assigns a request to the first agent that grants a slot.
  *
- * A grant may come late: its request may be with another agent or have ended.
- * The place is given back then; only an offer can start anything.
+ * A grant may arrive late, when its request is at another agent or has ended. Its
+ * slot is released then. Only an offer can start an attempt.
  */
 export function handleGrant(
   state: entryState.EntryState,
@@ -82,7 +82,7 @@
   return [line, ...assignment.assignTo(state, request, agent, now)];
 }
 
-/** Notes that an agent has no room for a tier, until its next report. */
+/** Records that an agent has no room for a tier until its next report. */
 function markFull(
   state: entryState.EntryState,
   agent: entryState.AgentView,
--- a/packages/core/src/entry/handle-entry-event.ts
+++ b/packages/core/src/entry/handle-entry-event.ts
@@ -1,4 +1,4 @@
-/** The entry's decisions: one event in, the effects it calls for out. */
+/** Applies an event to the entry's state and returns the resulting effects. */
 import * as schema from '@toucanproxy/schema';
 import * as documentIndex from '../shared/document-index.js';
 import * as documentStore from '../shared/document-store.js';
@@ -22,7 +22,7 @@
 type Effects = entryEvent.EntryEffect[];
 type EventOf<K extends entryEvent.EntryEvent['kind']> = Extract<entryEvent.EntryEvent, { kind: K }>;
 
-/** Takes in a request, or rejects it at once. */
+/** Admits a request, or rejects it immediately. */
 function handleArrival(
   state: entryState.EntryState,
   event: EventOf<'requestArrived'>,
@@ -48,8 +48,8 @@
 }
 
 /**
- * Tells whether a message is a sign of room at its agent. A refusal is none: a
- * request that waits would be sent again at once, and be refused again.
+ * Whether a message shows that its agent has room. A refusal does not: a waiting
+ * request would immediately be sent again, and be refused again.
  */
 function isCapacityFreed({ body }: schema.AgentMessage): boolean {
   switch (body.case) {
@@ -64,7 +64,7 @@
   }
 }
 
-/** Takes a message of an agent. */
+/** Handles a message of an agent, and retries waiting requests if the agent has room. */
 function handleAgentMessage(
   state: entryState.EntryState,
   event: EventOf<'agentMessage'>,
@@ -77,7 +77,7 @@
     : effects;
 }
 
-/** Routes one message of an agent to its decision. */
+/** Dispatches one message of an agent to its handler. */
 function routeAgentMessage(
   state: entryState.EntryState,
   event: EventOf<'agentMessage'>,
@@ -117,7 +117,7 @@
   }
 }
 
-/** Takes a newer document into force. */
+/** Activates a document that is newer than the active one. */
 function applyDocument(
   state: entryState.EntryState,
   event: EventOf<'documentRead'>,
@@ -149,7 +149,7 @@
   return [{ kind: 'stopped' }];
 }
 
-/** Does what is due by time alone. */
+/** Performs what is due by time. */
 function handleTick(state: entryState.EntryState, now: number): Effects {
   suspects.expireSuspects(state.suspects, now);
   return [
@@ -161,14 +161,14 @@
   ];
 }
 
-/** What is done for a request after the event that called for it. */
+/** Handlers of the follow-ups. */
 const FOLLOW_UP_HANDLERS = {
   place: dispatch.placeAgain,
   ask: dispatch.askAgain,
   close: keyClaims.startClose,
 };
 
-/** Does what the present event has left to do for single requests. */
+/** Applies the follow-ups of the current event. */
 function applyFollowUps(state: entryState.EntryState, now: number): Effects {
   const effects: Effects = [];
   let next = state.followUps.shift();
@@ -185,7 +185,7 @@
 /**
  * Applies one event to the entry's state.
  *
- * @param now present time, milliseconds since the Unix epoch
+ * @param now current time, milliseconds since the Unix epoch
  */
 export function handleEntryEvent(
   state: entryState.EntryState,
@@ -196,7 +196,7 @@
   return [...effects, ...applyFollowUps(state, now)];
 }
 
-/** Routes one event to its decision. */
+/** Dispatches one event to its handler. */
 function routeEvent(
   state: entryState.EntryState,
   event: entryEvent.EntryEvent,
--- a/packages/core/src/entry/held-attempts.ts
+++ b/packages/core/src/entry/held-attempts.ts
@@ -1,11 +1,14 @@
-/** Finds the requests that wait for an attempt: the one that offered it and those that joined it. */
+/**
+ * Finds the requests that wait for an attempt: the one that offered it and those
+ * that joined it.
+ */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
 import type * as entryState from './entry-state.js';
 
 export type HeldAttempt = { request: entryState.EntryRequest; target: entryState.Target };
 
-/** Lists the requests whose present attempt on this agent a message is about. */
+/** Lists the requests whose current attempt on this agent is the referenced one. */
 export function listHeldAttempts(
   state: entryState.EntryState,
   backendServerId: string,
@@ -19,9 +22,9 @@
   return [...new Set([ref.requestId, ...joined])].flatMap((requestId): HeldAttempt[] => {
     const request = state.requests.get(requestId);
     const target = request?.target;
-    // A message of an earlier attempt, or from another agent, may come late
-    // over a link that was thought dead. Taking it would mix two runs into one
-    // answer.
+    // A message of an earlier attempt, or of another agent, may arrive late over a
+    // link that was considered dead. Accepting it would mix two runs into one
+    // response.
     const same =
       target !== undefined &&
       target.backendServerId === backendServerId &&
@@ -31,22 +34,22 @@
 }
 
 /**
- * Tells whether another request of this entry waits for the same attempt. The
- * agent knows one subscription for each link, so a cancellation by one of them
- * would cut the answer of the others.
+ * Whether another request of this entry waits for the same attempt. The agent
+ * keeps one subscription for each link, so a cancellation by one request would
+ * abort the response of the others.
  */
 export function isShared(state: entryState.EntryState, target: entryState.Target): boolean {
   return listHeldAttempts(state, target.backendServerId, target.ref).length > 1;
 }
 
-/** Notes that a request reads the answer of another call's attempt. */
+/** Records that a request reads the response of another call's attempt. */
 export function addJoin(state: entryState.EntryState, refKey: string, requestId: string): void {
   const joined = state.joins.get(refKey) ?? new Set();
   joined.add(requestId);
   state.joins.set(refKey, joined);
 }
 
-/** Forgets a join that has ended. */
+/** Removes a join that has ended. */
 export function removeJoin(state: entryState.EntryState, refKey: string, requestId: string): void {
   const joined = state.joins.get(refKey);
   joined?.delete(requestId);
--- a/packages/core/src/entry/index.ts
+++ b/packages/core/src/entry/index.ts
@@ -1,4 +1,4 @@
-/** The entry's decisions. */
+/** Decision logic of the entry: a state, its events and the effects that they produce. */
 export * from './entry-event.js';
 export {
   createEntryState,
--- a/packages/core/src/entry/key-claim.ts
+++ b/packages/core/src/entry/key-claim.ts
@@ -1,4 +1,8 @@
-/** One claim for the key of one request, and the question that it puts to a home. */
+/**
+ * A claim of one request's key, and the messages to the key's homes.
+ *
+ * The homes of a key are the agents that record which attempt it is bound to.
+ */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as keyRetention from '../shared/key-retention.js';
@@ -19,22 +23,22 @@
 export type KeyClaim = {
   purpose: ClaimPurpose;
   claimId: string;
-  /** The attempt that the key is to be bound to. */
+  /** The attempt to which the key is to be bound. */
   ref: schema.AttemptRef;
-  /** The agent that holds a place for it; empty in a close. */
+  /** The agent that holds a slot for the attempt; empty if the key is to be closed. */
   backendServerId: string;
   agentLife: string;
   homes: string[];
-  /** The home that is asked now. */
+  /** Index of the home that is being asked. */
   index: number;
-  /** The question went out over the present link of the home. */
+  /** The claim was sent over the current link of the home. */
   sent: boolean;
   askedMs: number;
-  /** The attempt to join once the call that bound it has had time to offer it. */
+  /** The attempt to join, once the call that bound the key has had time to offer it. */
   join: keyJoins.PendingJoin | undefined;
 };
 
-/** Tells whether the key could have been bound at a home that is lost with its bindings. */
+/** Whether the key may have been bound at a home that is gone together with its bindings. */
 export function hasLostHome(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -50,7 +54,7 @@
   });
 }
 
-/** Builds the question to the present home. */
+/** Builds the claim message for the current home. */
 function buildClaim(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -73,7 +77,7 @@
   });
 }
 
-/** Sends the question over the home's link, if there is one. */
+/** Sends the claim to the current home, if its link is open. */
 export function sendClaim(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -88,7 +92,7 @@
   return [entryMessages.sendToAgent(home.backendServerId, { case: 'claim', value })];
 }
 
-/** Writes the line that says how a claim ended. */
+/** Logs how a claim ended. */
 export function logClaim(
   request: entryState.EntryRequest,
   outcome: string,
@@ -103,7 +107,7 @@
   });
 }
 
-/** Sends the questions that waited for a home's link. */
+/** Sends the claims that waited for a home's link. */
 export function sendPendingClaims(state: entryState.EntryState, homeId: string): Effects {
   return [...state.claiming].flatMap((requestId): Effects => {
     const request = state.requests.get(requestId);
@@ -115,7 +119,10 @@
   });
 }
 
-/** Notes that a home's link is gone: a question without an answer is sent again over the next. */
+/**
+ * Marks claims that a home has not answered as unsent after its link has closed,
+ * so that they are sent again over the next one.
+ */
 export function resetUnansweredClaims(state: entryState.EntryState, homeId: string): void {
   state.claiming.forEach((requestId) => {
     const claim = state.requests.get(requestId)?.claim;
--- a/packages/core/src/entry/key-claims.test.ts
+++ b/packages/core/src/entry/key-claims.test.ts
@@ -6,10 +6,10 @@
 import * as keyHomes from '../shared/key-homes.js';
 
 const AGENTS = ['a', 'b', 'c'];
-/** Longer than the pause before a join and the time a home has to answer, milliseconds. */
-const WHILE_MS = 1500;
+/** Longer than the delay before a join and the time that a home has to answer, milliseconds. */
+const SETTLE_MS = 1500;
 
-/** Makes a key whose homes by a document are the agents named. */
+/** Finds a key whose homes under a document are the given agents. */
 function makeKeyAt(
   fleet: smallFleet.SmallFleet,
   homes: string[],
@@ -25,31 +25,33 @@
 }
 
 nodeTest.test('resend joins the run', () => {
-  // A caller loses its connection and sends its order again through another
-  // entry, once while the first call runs and once after. Both read the one run.
+  // A caller loses its connection and sends its request again through another
+  // entry, once while the first call runs and once afterwards. Both must read the
+  // response of the only run.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   smallFleet.completeRun(fleet, 0);
   smallFleet.sendCall(fleet, 'e2', 3, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
-  const told = [1, 2, 3].map((caller) => smallFleet.formatOutcome(fleet, caller));
-  assert.deepEqual(told, ['answer 0', 'answer 0', 'answer 0']);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
+  const outcomes = [1, 2, 3].map((caller) => smallFleet.formatOutcome(fleet, caller));
+  assert.deepEqual(outcomes, ['answer 0', 'answer 0', 'answer 0']);
   assert.equal(fleet.dispatched.length, 1);
-  // The places that were held for the resends go back to their agents.
+  // The slots that were held for the resent requests are released.
   assert.deepEqual(fleet.released, ['e2-life-1-1', 'e2-life-1-2']);
 });
 
 nodeTest.test('same key twice in one entry', () => {
-  // Two calls with one key come in together and share one link to the agent.
-  // The first caller leaves; its cancellation must not cut the other's answer.
+  // Two calls with the same key arrive together and share one link to the agent.
+  // The first caller disconnects. Its cancellation must not abort the other's
+  // response.
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e1', 2, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'callerLeft', callerId: 1 });
   smallFleet.deliverMessages(fleet);
   smallFleet.completeRun(fleet, 0);
@@ -59,28 +61,30 @@
 });
 
 nodeTest.test('entry killed between claim and offer', () => {
-  // The entry dies with the key bound and its offer on the strategy. The resend asks
-  // the agent, which refuses the offer from then on, so the resend may take the
-  // binding over; the late offer starts nothing.
+  // An entry dies after the key is bound, while its offer is in transit. The resent
+  // request asks the agent for the attempt, and the agent refuses the offer from
+  // then on. So the resent request may take over the binding, and the late offer
+  // starts nothing.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.holdMessages(fleet, 'e1', 'offer');
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(fleet.held.length, 1);
   smallFleet.releaseHeld(fleet);
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(fleet.dispatched.length, 1);
   smallFleet.completeRun(fleet, 0);
   assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
-  // The first entry was only slow: it reads the run of the resend.
+  // The first entry was only slow. It reads the run of the resent request.
   assert.equal(smallFleet.formatOutcome(fleet, 1), 'answer 0');
 });
 
 nodeTest.test('resend while the offer is on its way', () => {
-  // The offer takes 300 ms. A resend that asked the agent at once would have it
-  // refuse the offer, and two entries could undo each other's attempts in turn.
+  // The offer takes 300 ms. If the resent request asked the agent immediately, the
+  // agent would refuse the offer, and two entries could keep undoing each other's
+  // attempts.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.holdMessages(fleet, 'e1', 'offer');
@@ -88,14 +92,14 @@
   smallFleet.sendCall(fleet, 'e2', 2, { key });
   smallFleet.advanceTime(fleet, 300);
   smallFleet.releaseHeld(fleet);
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(fleet.dispatched.length, 1);
   assert.match(fleet.dispatched[0].refKey, /^e1-life-1-1#1$/);
 });
 
 nodeTest.test('home restarted between claim and offer', () => {
-  // The home forgets the binding while the offer is on its strategy. It cannot tell
-  // a resend whether the key was bound, so the resend is not dispatched.
+  // A home restarts and loses the binding while the offer is in transit. It cannot
+  // tell whether the key was bound, so a resent request must not be dispatched.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
   smallFleet.holdMessages(fleet, 'e1', 'offer');
@@ -105,15 +109,15 @@
   smallFleet.applyToAgent(fleet, 'b', { kind: 'documentRead', stored });
   smallFleet.advanceTime(fleet, 4000);
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(smallFleet.formatOutcome(fleet, 2), 'KEY_UNDECIDED MAY_HAVE_RUN');
   smallFleet.releaseHeld(fleet);
   assert.equal(fleet.dispatched.length, 1);
 });
 
 nodeTest.test('entries on different versions', () => {
-  // A backend server is added and becomes the key's home for entries that know
-  // of it. They ask the home before it too, where the other entry's binding is.
+  // A backend server is added and becomes the key's home for entries that know of
+  // it. These must also ask the previous home, which has the other entry's binding.
   const newer = smallFleet.buildDocument(AGENTS, { version: 2 });
   newer.document.backendServers[2].addedInVersion = 2;
   const fleet = smallFleet.createSmallFleet(
@@ -128,15 +132,15 @@
   const key = makeKeyAt(fleet, ['b', 'c'], newer);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(fleet.dispatched.length, 1);
   smallFleet.completeRun(fleet, 0);
   assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
 });
 
-nodeTest.test('home gone with its bindings', () => {
-  // The home dies for good and the document declares it gone. Its successor
-  // never saw the binding; a key from before the loss must not be bound anew.
+nodeTest.test('home lost with its bindings', () => {
+  // A home is lost for good, and the document declares it gone. Its successor never
+  // had the binding, so a key from before the loss must not be bound again.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
@@ -153,8 +157,9 @@
 });
 
 nodeTest.test('bound agent restarted', () => {
-  // The agent that ran the order restarts and has forgotten it. The resend
-  // asks the new life, which cannot say; nothing is dispatched again.
+  // The agent that ran a request restarts without a record of it. The resent
+  // request asks the new incarnation, which cannot tell, so nothing may be
+  // dispatched again.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
@@ -167,15 +172,16 @@
   assert.equal(fleet.dispatched.length, 1);
 });
 
-nodeTest.test('silent home', () => {
-  // The home's answer is held up past its time. An order is not dispatched, a
-  // query goes on without; the answers that come late are dropped and counted.
+nodeTest.test('home that does not reply', () => {
+  // A home's reply is delayed beyond the claim timeout. The request on the route
+  // that runs once must not be dispatched, and the one on the repeatable route
+  // continues without a claim. The late replies are dropped and counted.
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
   smallFleet.holdMessages(fleet, 'e1', 'claimReply');
   const [order, query] = [1, 2].map((serial) => smallFleet.buildKey(fleet.now, serial));
   smallFleet.sendCall(fleet, 'e1', 1, { key: order });
   smallFleet.sendCall(fleet, 'e1', 2, { key: query, path: '/look' });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(smallFleet.formatOutcome(fleet, 1), 'KEY_UNDECIDED MAY_HAVE_RUN');
   assert.equal(fleet.dispatched.length, 1);
   smallFleet.releaseHeld(fleet);
@@ -186,10 +192,10 @@
   );
 });
 
-nodeTest.test('closed before a paused call wakes', () => {
-  // The first call is paused with its claim unanswered. The resend is given up
-  // at its deadline and told "not run", which stays true when the first wakes;
-  // a later call opens the key again.
+nodeTest.test('closed before a paused call resumes', () => {
+  // The first call pauses with its claim unanswered. The resent request is rejected
+  // with "not run", which must stay true when the first call resumes. A later call
+  // opens the key again.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = makeKeyAt(fleet, ['b']);
   smallFleet.holdMessages(fleet, 'e1', 'claim');
@@ -198,7 +204,7 @@
   smallFleet.sendCall(fleet, 'e2', 2, { key });
   assert.equal(smallFleet.formatOutcome(fleet, 2), 'SHUTTING_DOWN NOT_RUN');
   smallFleet.releaseHeld(fleet);
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   assert.equal(smallFleet.formatOutcome(fleet, 1), 'CANCELLED NOT_RUN');
   assert.equal(fleet.dispatched.length, 0);
   smallFleet.advanceTime(fleet, 4000);
@@ -206,15 +212,15 @@
   assert.equal(fleet.dispatched.length, 1);
 });
 
-nodeTest.test('given up while an earlier call runs', () => {
-  // A resend meets an entry that shuts down. It may not be told "not run",
-  // since its earlier call is running; it reads that call's answer.
+nodeTest.test('rejected while an earlier call runs', () => {
+  // A resent request reaches an entry that is shutting down. It must not get "not
+  // run", because the earlier call is running. It reads that call's response.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const key = smallFleet.buildKey(fleet.now);
   smallFleet.sendCall(fleet, 'e1', 1, { key });
   smallFleet.applyToEntry(fleet, 'e2', { kind: 'shutdownStarted' });
   smallFleet.sendCall(fleet, 'e2', 2, { key });
-  smallFleet.advanceTime(fleet, WHILE_MS);
+  smallFleet.advanceTime(fleet, SETTLE_MS);
   smallFleet.completeRun(fleet, 0);
   assert.equal(smallFleet.formatOutcome(fleet, 2), 'answer 0');
 });
@@ -236,9 +242,10 @@
   assert.equal(fleet.dispatched.length, 1);
 });
 
-nodeTest.test('paused entry asks about a forgotten run', () => {
-  // An entry pauses for longer than records are kept and then asks what became
-  // of its attempt. The agent has run and forgotten it and must not say "not run".
+nodeTest.test('paused entry asks about a run that is no longer recorded', () => {
+  // An entry pauses for longer than records are kept, and then asks what became of
+  // its attempt. The agent has run it and dropped the record, so it must not report
+  // "not run".
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   fleet.isHeld = (message) => !message.toAgent;
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
--- a/packages/core/src/entry/key-claims.ts
+++ b/packages/core/src/entry/key-claims.ts
@@ -1,10 +1,10 @@
 /**
  * Claims the key of a request at its home agents before the request is offered,
- * and closes the key before its caller is told "not run".
+ * and closes the key before its caller gets "not run".
  *
- * The homes are asked one after another, the oldest first, so that two calls
- * with one key meet at the first home that they share. What a home does not
- * answer is never taken as granted.
+ * The homes are asked one after another, the oldest first, so that two calls with
+ * one key meet at the first home that they share. A home that does not answer is
+ * never taken to have granted the claim.
  */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
@@ -21,14 +21,14 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Time that one home has to answer, the opening of its link included, milliseconds. */
+/** How long one home may take to answer, including the opening of its link, milliseconds. */
 const CLAIM_TIMEOUT_MS = 1000;
-/** Claims of one request, at most; two entries may undo each other's attempts in turn. */
+/** Maximum number of claims of one request. Two entries can keep undoing each other's attempts. */
 const MAX_CLAIM_ROUNDS = 8;
-/** When a caller that cannot be told more may send its key again, milliseconds. */
+/** Retry-after for a caller whose key could not be decided, milliseconds. */
 const UNDECIDED_RETRY_AFTER_MS = 2000;
 
-/** Asks the present home, or goes on where all have been asked. */
+/** Asks the current home, or completes the claim if all homes have been asked. */
 function claimAtHome(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -47,7 +47,7 @@
   return [...linkOpening.openOnDemand(home, now), ...keyClaim.sendClaim(state, request, claim)];
 }
 
-/** Begins to ask the homes of a key. */
+/** Starts a claim of a key at its homes. */
 function startClaim(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -83,7 +83,7 @@
   return undecidable ? endUndecided(state, request, now) : claimAtHome(state, request, claim, now);
 }
 
-/** Begins to bind the key of a request to a new attempt on the agent chosen for it. */
+/** Starts to bind the key of a request to a new attempt on the chosen agent. */
 export function startBind(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -95,21 +95,21 @@
   return startClaim(state, request, keyClaim.ClaimPurpose.BIND, agent, now);
 }
 
-/** Ends the claim of an attempt that will not be offered, and frees its place. */
+/** Drops the claim of an attempt that will not be offered, and releases its slot. */
 function dropClaim(request: entryState.EntryRequest): Effects {
   const { claim } = request;
   request.claim = undefined;
   if (claim?.purpose !== keyClaim.ClaimPurpose.BIND) {
     return [];
   }
-  // This entry alone could offer the attempt, and it will not.
+  // Only this entry could offer the attempt, and it will not.
   request.replaceable.push(claim.ref);
   const { requestId } = request;
   const value = schema.create(schema.ReleaseSchema, { requestId });
   return [entryMessages.sendToAgent(claim.backendServerId, { case: 'release', value })];
 }
 
-/** Begins to close the key of a request that was given up. */
+/** Starts to close the key of a request that has failed. */
 export function startClose(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -121,7 +121,7 @@
   return [...released, ...startClaim(state, request, keyClaim.ClaimPurpose.CLOSE, noAgent, now)];
 }
 
-/** Puts a request back to waiting for a place. */
+/** Returns a request to waiting for a slot. */
 function placeAgain(state: entryState.EntryState, request: entryState.EntryRequest): Effects {
   const released = dropClaim(request);
   state.claiming.delete(request.requestId);
@@ -130,7 +130,7 @@
   return released;
 }
 
-/** Goes on where every home has granted. */
+/** Completes a claim that every home has granted. */
 function completeClaim(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -157,10 +157,11 @@
 }
 
 /**
- * Ends a claim that no home answered for.
+ * Ends a claim that could not be decided.
  *
- * A route that may be repeated goes on: a second run does no harm there. A
- * route that runs once does not: an earlier call may have been dispatched.
+ * On a route that may be repeated the request continues, because a second run
+ * does no harm. On a route that runs once it does not, because an earlier call
+ * may have been dispatched.
  */
 function endUndecided(
   state: entryState.EntryState,
@@ -179,7 +180,10 @@
   return [line, ...dropClaim(request), ...outcomes.endFailed(state, request, failure, now)];
 }
 
-/** Gives up a call that came before its key was closed, and closes its other homes too. */
+/**
+ * Handles a key that was closed after this call arrived: the call is given up,
+ * and the key's other homes are closed too.
+ */
 function handleClosed(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -191,12 +195,13 @@
     return claimAtHome(state, request, claim, now);
   }
   const { clockSkewMs } = entryState.getTiming(state, request.arrived.service);
-  // A call that comes within the skew after the close would be refused again.
+  // A call that arrives within the clock skew after the close would be refused
+  // again.
   request.pendingFailure = outcomes.buildNotRun(schema.ResultCode.CANCELLED, 2 * clockSkewMs);
   return startClose(state, request, now);
 }
 
-/** Joins the attempt that the key is bound to. */
+/** Joins the attempt to which the key is bound. */
 function handleBound(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -231,7 +236,7 @@
   return keyJoins.startJoin(state, request, join.target, now);
 }
 
-/** Ends a request whose key cannot be used. */
+/** Fails a request whose key cannot be used. */
 function refuseKey(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -241,7 +246,7 @@
   return [...dropClaim(request), ...outcomes.endFailed(state, request, failure, now)];
 }
 
-/** Handles a home's answer. One to a question that is no longer open is dropped. */
+/** Handles a home's reply to a claim. A reply to a claim that is no longer pending is dropped. */
 export function handleClaimReply(
   state: entryState.EntryState,
   homeId: string,
@@ -269,7 +274,7 @@
       return refuseKey(state, request, failure, now);
     }
     case schema.ClaimOutcome.REUSED: {
-      // Another home that was not asked may hold a binding of this very content.
+      // Another home, which was not asked, may hold a binding of this very content.
       const failure =
         claim.homes.length === 1
           ? outcomes.buildNotRun(schema.ResultCode.KEY_REUSED)
@@ -281,7 +286,7 @@
   }
 }
 
-/** Joins what is due and ends claims whose home has been silent for too long. */
+/** Joins attempts that are due, and ends claims whose home has not answered in time. */
 export function handleDue(state: entryState.EntryState, now: number): Effects {
   return [...state.claiming].flatMap((requestId): Effects => {
     const request = state.requests.get(requestId);
--- a/packages/core/src/entry/key-joins.ts
+++ b/packages/core/src/entry/key-joins.ts
@@ -1,4 +1,4 @@
-/** Joins a call to the attempt that an earlier call with its key has started. */
+/** Joins a call to the attempt that an earlier call with the same key started. */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as entryEvent from './entry-event.js';
@@ -9,18 +9,20 @@
 import * as offering from './offering.js';
 
 /**
- * Age of a binding from which on its attempt is asked for, milliseconds.
+ * Minimum age of a binding before its attempt is requested from the agent,
+ * milliseconds.
  *
  * An agent that is asked for an attempt it does not know refuses its offer from
- * then on. Asked too soon, two entries with one key would undo each other's
- * attempts in turn; the pause lets the call that bound the key offer it.
+ * then on. If the agent were asked too early, two entries with the same key would
+ * keep undoing each other's attempts. The delay gives the call that bound the key
+ * time to offer its attempt.
  */
 const JOIN_GRACE_MS = 500;
 
 /** A join that waits until the bound attempt has had time to be offered. */
 export type PendingJoin = { target: entryState.Target; dueMs: number };
 
-/** Reads the attempt to join from a home's answer; undefined where noAgent can be asked for it. */
+/** Reads the attempt to join from a home's reply; undefined if its agent is unknown. */
 export function parseJoin(
   state: entryState.EntryState,
   reply: schema.ClaimReply,
@@ -43,7 +45,7 @@
   return { target, dueMs: now + Math.max(0, JOIN_GRACE_MS - reply.boundForMs) };
 }
 
-/** Asks for the whole answer of the attempt, over a new link where there is none. */
+/** Requests the complete response of the attempt, over a new link if there is none. */
 export function startJoin(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -56,7 +58,8 @@
   if (agent === undefined) {
     return [];
   }
-  // Where the link is still to open, the agent's hello brings the question.
+  // If the link still has to open, the message is sent when the agent's hello
+  // arrives.
   const body = entryMessages.buildResume(request, target);
   const resume = agent.linked ? [entryMessages.sendToAgent(agent.backendServerId, body)] : [];
   return [...linkOpening.openOnDemand(agent, now), ...resume];
--- a/packages/core/src/entry/link-opening.ts
+++ b/packages/core/src/entry/link-opening.ts
@@ -1,23 +1,26 @@
-/** Opens and gives up links: those that are kept, and those that a claim or a join needs. */
+/** Opens and closes links: those that are kept, and those that a claim or a join needs. */
 import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import type * as entryState from './entry-state.js';
 import * as keyClaim from './key-claim.js';
 
-/** Pause before a link that failed is opened again, milliseconds. */
+/**
+ * Delay before a link that failed is opened again, milliseconds; the jitter is
+ * added to the minimum.
+ */
 const REOPEN_MIN_MS = 100;
 const REOPEN_JITTER_MS = 400;
 
 /** How long a link on demand stays open after it was last needed, milliseconds. */
 const ON_DEMAND_IDLE_MS = 3000;
 
-/** Tells whether a link is to be open now. */
+/** Whether a link should be open now. */
 export function isWanted(view: entryState.AgentView, now: number): boolean {
   const needed = view.lastNeededMs > 0 && now - view.lastNeededMs <= ON_DEMAND_IDLE_MS;
   return view.kept || view.heldIds.size > 0 || needed;
 }
 
-/** Opens the link of one agent where it is wanted and not open. */
+/** Opens the link to one agent if it is needed and not open. */
 export function openIfWanted(view: entryState.AgentView, now: number): entryEvent.EntryEffect[] {
   const open = view.linked || view.opening;
   if (open || now < view.nextOpenMs || !isWanted(view, now)) {
@@ -29,13 +32,13 @@
   return [{ kind: 'openLink', backendServerId, address }];
 }
 
-/** Notes that a link is needed and opens it where it is not open. */
+/** Records that a link is needed, and opens it if it is not open. */
 export function openOnDemand(view: entryState.AgentView, now: number): entryEvent.EntryEffect[] {
   view.lastNeededMs = now;
   return openIfWanted(view, now);
 }
 
-/** Marks a link as gone; its requests wait to be resumed over a new one. */
+/** Records that a link is closed. Its requests wait to be resumed over a new one. */
 export function handleLinkClosed(
   state: entryState.EntryState,
   backendServerId: string,
@@ -50,7 +53,7 @@
   return [];
 }
 
-/** Gives up a link; the attempts there are resumed over the next one. */
+/** Closes a link. Its attempts are resumed over the next one. */
 export function abandonLink(
   state: entryState.EntryState,
   view: entryState.AgentView,
--- a/packages/core/src/entry/link-selection.test.ts
+++ b/packages/core/src/entry/link-selection.test.ts
@@ -5,7 +5,7 @@
 const DOMAINS = Array.from({ length: 7 }, (_, index) => `domain-${index}`);
 const ENTRIES = 410;
 
-/** Builds agents spread over the failure domains. */
+/** Builds agents that are spread over the failure domains. */
 function buildAgents(count: number): linkSelection.LinkCandidate[] {
   return Array.from({ length: count }, (_, index) => ({
     backendServerId: `runner-${index}`,
@@ -13,7 +13,7 @@
   }));
 }
 
-/** Counts the entries that each agent has, without those of one failure domain. */
+/** Counts the entries linked to each agent, without those in one failure domain. */
 function countEntries(agents: linkSelection.LinkCandidate[], links: number, lost = ''): number[] {
   const counts = new Map(agents.map((agent) => [agent.backendServerId, 0]));
   Array.from({ length: ENTRIES }, (_, index) => index).forEach((index) => {
@@ -30,17 +30,18 @@
 }
 
 nodeTest.test('agents keep enough entries', () => {
-  // One service of all 600 runners, and one of 18 as with 33 models. A failure
-  // domain goes with its entries and agents; the rest keep entries to serve.
+  // One service with all 600 backend servers, and one with 18, as with 33 models.
+  // If a failure domain is lost with its entries and agents, every other agent must
+  // still have enough entries.
   const cases = [
     { agents: 600, links: 32, least: 8 },
     { agents: 18, links: 3, least: 50 },
   ];
   cases.forEach(({ agents, links, least }) => {
     const built = buildAgents(agents);
-    const whole = Math.min(...countEntries(built, links));
+    const allDomains = Math.min(...countEntries(built, links));
     const afterLoss = Math.min(...countEntries(built, links, DOMAINS[0]));
-    assert.ok(whole >= least, `${agents} agents: ${whole}`);
+    assert.ok(allDomains >= least, `${agents} agents: ${allDomains}`);
     assert.ok(afterLoss >= least, `${agents} agents after the loss: ${afterLoss}`);
   });
 });
--- a/packages/core/src/entry/link-selection.ts
+++ b/packages/core/src/entry/link-selection.ts
@@ -1,37 +1,38 @@
 /**
- * Which agents an entry keeps links to.
+ * Selects the agents to which an entry keeps links.
  *
- * A full mesh of entries and agents spends more on heartbeats than a node may.
- * Rendezvous hashing spreads the entries over the agents evenly, and each
- * process can work the choice out for itself.
+ * A full mesh of entries and agents would exceed a node's budget for heartbeats.
+ * Rendezvous hashing spreads the entries evenly over the agents, and each process
+ * can compute its selection on its own.
  */
 import * as rendezvous from '../shared/rendezvous.js';
 
-/** Links that one entry keeps over all its services, about. */
+/** Approximate number of links that one entry keeps over all its services. */
 const LINKS_PER_ENTRY = 40;
 const MIN_LINKS_PER_SERVICE = 3;
 export const DEFAULT_LINKS_PER_SERVICE = 32;
 
-/** Of the links, one in this many goes to other failure domains. */
+/** One in this many links goes to another failure domain. */
 const REMOTE_LINK_DIVISOR = 4;
 
 /**
- * Computes the links kept for each of several services, so that the heartbeats
- * of an entry stay within its budget for control.
+ * Computes how many links to keep for each of several services, so that the
+ * entry's heartbeats stay within its budget for control traffic.
  */
 export function computeLinksPerService(services: number): number {
   const share = Math.floor(LINKS_PER_ENTRY / Math.max(services, 1));
   return Math.min(DEFAULT_LINKS_PER_SERVICE, Math.max(MIN_LINKS_PER_SERVICE, share));
 }
 
-/** What the choice looks at. */
+/** The properties of an agent that the selection depends on. */
 export type LinkCandidate = { backendServerId: string; failureDomain: string };
 
 /**
- * Selects the agents to keep links to: most in the entry's own failure domain,
- * some outside it, so that the loss of the domain leaves links that work.
+ * Selects the agents to keep links to. Most are in the entry's own failure
+ * domain, and some are outside it, so that working links remain if the domain is
+ * lost.
  *
- * @param count links to keep, at most
+ * @param count maximum number of links to keep
  */
 export function selectLinks(
   entryId: string,
--- a/packages/core/src/entry/membership.ts
+++ b/packages/core/src/entry/membership.ts
@@ -1,4 +1,4 @@
-/** Which backend servers this entry knows, which it keeps links to, and which take new work. */
+/** Which backend servers this entry knows, to which it keeps links, and which get new work. */
 import * as schema from '@toucanproxy/schema';
 import * as agentHealth from './agent-health.js';
 import * as entryEvent from './entry-event.js';
@@ -8,7 +8,7 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Makes the view of a backend server that a document names for the first time. */
+/** Creates the view of a backend server that a document names for the first time. */
 function createView(service: string, server: schema.BackendServer): entryState.AgentView {
   return {
     backendServerId: server.id,
@@ -40,8 +40,8 @@
 }
 
 /**
- * Brings one view in line with a document. An agent that has moved to another
- * address is linked anew: the process at the old one is not it any more.
+ * Updates one view from a document. If the address has changed, the link is
+ * opened anew, because the process at the old address is no longer that agent.
  */
 function applyBackendServer(
   state: entryState.EntryState,
@@ -64,7 +64,7 @@
   return moved ? linkOpening.abandonLink(state, view, now) : [];
 }
 
-/** Brings the views in line with a document that has come into force. */
+/** Updates the views from a document that has become active. */
 export function applyBackendServers(
   state: entryState.EntryState,
   document: schema.ServiceDocument,
@@ -94,16 +94,17 @@
   return [...state.agents.values()].filter((view) => view.service === service);
 }
 
-/** Decides from all that is known whether an agent takes new work. */
+/** Combines the three sources that can mark an agent as leaving. */
 export function updateLeaving(view: entryState.AgentView): void {
   view.leaving = view.documentLeaving || view.listedLeaving || view.reportedLeaving;
 }
 
 /**
- * Gives no more work to VMs that the platform lists as leaving.
+ * Withholds new work from VMs that the platform lists as leaving.
  *
- * The list lags: it may still name the life before the present one. A life that
- * began after the list was first seen to name its VM is taken at its own word.
+ * The list lags behind and may still refer to the previous incarnation. For an
+ * incarnation that began after the list first named its VM, only the agent's own
+ * reports count.
  */
 export function applyLeavingList(state: entryState.EntryState, addresses: readonly string[]): void {
   const listed = new Set(addresses);
@@ -120,8 +121,9 @@
 }
 
 /**
- * Marks the links that this entry keeps for a service. One to an agent that
- * leaves is kept until the agent closes it, without counting for the choice.
+ * Marks the links that this entry keeps for a service. A kept link to a leaving
+ * agent stays until the agent closes it, and does not count towards the
+ * selection.
  */
 function updateKeptLinks(state: entryState.EntryState, views: entryState.AgentView[]): void {
   const staying = views.filter((view) => !view.documentLeaving);
--- a/packages/core/src/entry/mocks/entry-fixture.ts
+++ b/packages/core/src/entry/mocks/entry-fixture.ts
@@ -1,4 +1,4 @@
-/** Drives an entry's core in tests: builds events and reads its effects. */
+/** Drives an entry's core in tests: builds events and reads the effects. */
 import * as schema from '@toucanproxy/schema';
 import * as entryEvent from '../entry-event.js';
 import * as entryPolicy from '../entry-policy.js';
@@ -24,24 +24,24 @@
   agents: string[];
   policy?: entryPolicy.EntryPolicy;
   limits?: Fields<schema.Limits>;
-  /** Each agent has reported a short queue, so that several are asked at once. */
+  /** Each agent has reported a short queue, so that several are asked at the same time. */
   busy?: boolean;
 };
 
-/** Applies one event at the fixture's present time. */
+/** Applies one event at the fixture's current time. */
 export function handle(fixture: Fixture, event: entryEvent.EntryEvent): entryEvent.EntryEffect[] {
   const effects = handleEntryEvent.handleEntryEvent(fixture.state, event, fixture.now);
   fixture.effects.push(...effects);
   return effects;
 }
 
-/** Passes time and applies a tick. */
+/** Advances the time and applies a tick. */
 export function advance(fixture: Fixture, ms: number): entryEvent.EntryEffect[] {
   fixture.now += ms;
   return handle(fixture, { kind: 'ticked' });
 }
 
-/** Hands in one message of an agent. */
+/** Delivers one message of an agent. */
 export function receive(
   fixture: Fixture,
   backendServerId: string,
@@ -58,7 +58,7 @@
   return receive(fixture, backendServerId, { case: 'hello', value });
 }
 
-/** Builds a document of two tiers and two workspaces. */
+/** Builds a document with two tiers and two workspaces. */
 export function buildDocument(version: number, options: FixtureOptions): schema.ServiceDocument {
   return schema.create(schema.ServiceDocumentSchema, {
     service: SERVICE,
@@ -74,7 +74,7 @@
   });
 }
 
-/** Creates an entry with a document of two tiers and its links open. */
+/** Creates an entry that has a document with two tiers and open links. */
 export function createFixture(options: FixtureOptions): Fixture {
   const policy = options.policy ?? entryPolicy.createLateBindingPolicy(() => 0.5);
   const identity = { entryId: 'entry-1', life: 'e1', failureDomain: 'suva-loft' };
@@ -89,7 +89,7 @@
   return fixture;
 }
 
-/** Lets a caller's request arrive and gets its caller id. */
+/** Delivers a caller's request and returns its caller id. */
 export function sendRequest(
   fixture: Fixture,
   fields: Partial<entryEvent.ArrivedRequest> = {},
@@ -115,12 +115,12 @@
   return callerId;
 }
 
-/** Gets the id of a caller's request. */
+/** Returns the request id of a caller. */
 export function getRequestId(fixture: Fixture, callerId: number): string {
   return fixture.state.requestByCaller.get(callerId) ?? '';
 }
 
-/** Lists the messages of one kind that were sent, with whom they went to. */
+/** Lists the sent messages of one kind with their recipients. */
 export function listSent<C extends Sent['case']>(
   effects: readonly entryEvent.EntryEffect[],
   kind: C,
@@ -133,7 +133,7 @@
   });
 }
 
-/** Lists whom a request's place was asked of. */
+/** Lists the agents that were asked for a slot for a caller's request. */
 export function listAsked(fixture: Fixture, callerId: number): string[] {
   const requestId = getRequestId(fixture, callerId);
   return listSent(fixture.effects, 'reserve')
@@ -141,7 +141,7 @@
     .map((sent) => sent.to);
 }
 
-/** Finds the failure that a caller was told. */
+/** Returns the failure that a caller received. */
 export function findFailure(
   fixture: Fixture,
   callerId: number,
@@ -151,13 +151,13 @@
     .find((effect) => effect.callerId === callerId);
 }
 
-/** Lets an agent grant a place. */
+/** Makes an agent grant a slot. */
 export function grant(fixture: Fixture, from: string, requestId: string): entryEvent.EntryEffect[] {
   const value = schema.create(schema.GrantSchema, { requestId, holdMs: 200 });
   return receive(fixture, from, { case: 'grant', value });
 }
 
-/** Lets an agent refuse a place. */
+/** Makes an agent refuse a slot. */
 export function refuse(
   fixture: Fixture,
   from: string,
@@ -168,7 +168,7 @@
   return receive(fixture, from, { case: 'reserveRefused', value });
 }
 
-/** Lets an agent report its load. */
+/** Makes an agent report its load. */
 export function report(
   fixture: Fixture,
   from: string,
@@ -187,13 +187,13 @@
   return schema.create(schema.AttemptRefSchema, { requestId, attempt });
 }
 
-/** Lets an agent start an attempt. */
+/** Makes an agent start an attempt. */
 export function start(fixture: Fixture, from: string, requestId: string, attempt = 1): void {
   const value = schema.create(schema.StartedSchema, { ref: buildRef(requestId, attempt) });
   receive(fixture, from, { case: 'started', value });
 }
 
-/** Lets an agent report that a started attempt broke. */
+/** Makes an agent report that a started attempt failed. */
 export function fail(
   fixture: Fixture,
   from: string,
@@ -206,7 +206,7 @@
   receive(fixture, from, { case: 'failed', value });
 }
 
-/** Lets an agent answer a started attempt whole. */
+/** Makes an agent send the complete response of a started attempt. */
 export function complete(
   fixture: Fixture,
   from: string,
@@ -225,7 +225,7 @@
   });
 }
 
-/** Lets an agent confirm that an attempt never ran. */
+/** Makes an agent confirm that an attempt was not run. */
 export function reportNotRun(
   fixture: Fixture,
   from: string,
--- a/packages/core/src/entry/offering.ts
+++ b/packages/core/src/entry/offering.ts
@@ -1,11 +1,14 @@
-/** Sends offers. From here on only the agent says what became of the attempt. */
+/**
+ * Sends offers. Once an offer is sent, only the agent's reports decide what
+ * became of the attempt.
+ */
 import * as schema from '@toucanproxy/schema';
 import * as requestAccounting from './request-accounting.js';
 import * as entryEvent from './entry-event.js';
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
 
-/** Makes an attempt on one agent the request's present one and counts it there. */
+/** Makes an attempt the current one of a request, and adds it to the accounting of its agent. */
 export function setTarget(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -15,7 +18,7 @@
   requestAccounting.addTarget(state, request, target);
 }
 
-/** Offers a request to one agent under an attempt number that is its own. */
+/** Offers a request to one agent under its own attempt number. */
 export function sendOffer(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -26,8 +29,8 @@
     backendServerId: agent.backendServerId,
     agentLife: agent.agentLife,
     ref,
-    // The time of the call, not of the sending: an entry that pauses between
-    // its decision and the offer must not make a stale offer look fresh.
+    // The arrival time, not the time of sending: an entry that pauses between its
+    // decision and the offer must not make a stale offer look fresh.
     issuedMs: request.arrivedMs,
     joined: false,
     nextSequence: 0,
--- a/packages/core/src/entry/outcomes.ts
+++ b/packages/core/src/entry/outcomes.ts
@@ -1,4 +1,4 @@
-/** Ends requests. Every request ends here, once. */
+/** Ends requests. Every request ends here, exactly once. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as requestAccounting from './request-accounting.js';
@@ -8,49 +8,51 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** What a caller is told when its request did not complete. */
+/** What a caller receives if its request did not complete. */
 export type Failure = {
   code: schema.ResultCode;
   runState: schema.RunState;
   retryAfterMs: number;
 };
 
-/** Builds a failure of a request that was not run. */
+/** Builds the failure of a request that was not run. */
 export function buildNotRun(code: schema.ResultCode, retryAfterMs = 0): Failure {
   return { code, runState: schema.RunState.NOT_RUN, retryAfterMs };
 }
 
-/** Builds a failure of a request that was started. */
+/** Builds the failure of a request that was started. */
 export function buildRan(code: schema.ResultCode): Failure {
   return { code, runState: schema.RunState.RAN, retryAfterMs: 0 };
 }
 
-/** Builds a failure where noAgent can say whether the request was started. */
+/** Builds the failure of a request that may or may not have been started. */
 export function buildMayHaveRun(code: schema.ResultCode): Failure {
   return { code, runState: schema.RunState.MAY_HAVE_RUN, retryAfterMs: 0 };
 }
 
 /**
- * Combines what is known of two attempts.
+ * Combines the run states of two attempts.
  *
- * A repeat that is not run does not make its request "not run": the attempt
- * before it was started, and a caller told otherwise would order again.
+ * A retry that is not run does not make its request "not run": the attempt before
+ * it was started, and a caller that gets "not run" would submit the same work
+ * again.
  */
 export function mergeRunStates(a: schema.RunState, b: schema.RunState): schema.RunState {
   const { RAN, MAY_HAVE_RUN, NOT_RUN } = schema.RunState;
   return [RAN, MAY_HAVE_RUN].find((known) => a === known || b === known) ?? NOT_RUN;
 }
 
-/** Says what is known of a request, of its earlier attempts and of its key. */
+/** Computes the run state of a request from its current attempt, its earlier ones and its key. */
 function computeRunState(request: entryState.EntryRequest, failure: Failure): schema.RunState {
   const known = mergeRunStates(request.earlierRunState, failure.runState);
-  // The key of a repeatable request is not closed: another call with it may
-  // run, and "not run" would be wrong for what the caller thinks of as one.
+  // The key of a repeatable request is not closed. Another call with the same key
+  // may run, and "not run" would be wrong for what the caller considers one
+  // request.
   const open = request.repeatable && request.arrived.key !== '';
   return open ? mergeRunStates(known, schema.RunState.MAY_HAVE_RUN) : known;
 }
 
-/** Ends the waiting of a request: its reservations are released. */
+/** Removes a request from the waiting requests and releases its reservations. */
 export function stopWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -60,7 +62,7 @@
   return reservations.releaseReservations(state, request);
 }
 
-/** Takes a request out of the state. */
+/** Removes a request from the state. */
 function forget(state: entryState.EntryState, request: entryState.EntryRequest): Effects {
   const released = stopWaiting(state, request);
   requestAccounting.removeRequest(state, request);
@@ -83,9 +85,10 @@
 }
 
 /**
- * Gives a request up. A keyed request of a route that runs once is not told
- * "not run" before its key is closed: an earlier call with the same key, paused
- * or waiting elsewhere, could still run, and its caller would order again.
+ * Fails a request. If it has a key and its route runs once, its caller gets "not
+ * run" only after the key is closed: an earlier call with the same key, paused or
+ * waiting elsewhere, could still run, and the caller would submit the same work
+ * again.
  */
 export function fail(
   state: entryState.EntryState,
@@ -136,7 +139,7 @@
   ];
 }
 
-/** Ends a request whose whole answer has been received. */
+/** Ends a request whose complete response has been received. */
 export function complete(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -156,7 +159,7 @@
   ];
 }
 
-/** Ends a request whose caller has gone; there is noAgent to answer. */
+/** Ends a request whose caller has disconnected, so that no response is sent. */
 export function abandon(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/parking.ts
+++ b/packages/core/src/entry/parking.ts
@@ -1,4 +1,4 @@
-/** Requests that wait in the entry until an agent has room for them. */
+/** Parked requests: those that wait in the entry until an agent's queue has room for them. */
 import * as schema from '@toucanproxy/schema';
 import * as startQueue from '../shared/start-queue.js';
 import * as effect from '../shared/effect.js';
@@ -13,14 +13,17 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** How long a service without any agent waits for links to open, milliseconds. */
+/** How long a service without any linked agent waits for links to open, milliseconds. */
 const LINK_GRACE_MS = 2000;
-/** Wait for the grant of an agent that had room before others are asked, milliseconds. */
+/**
+ * How long to wait for the grant of an agent that had room before others are
+ * asked, milliseconds.
+ */
 export const ASK_MORE_MS = 500;
-/** Requests that one sign of room at an agent wakes, at most. */
+/** Maximum number of requests that are retried when one agent has room. */
 const MAX_WOKEN_REQUESTS = 32;
 
-/** Lets a request wait until an agent has room, where that can be in time. */
+/** Parks a request until an agent has room, if that can happen before its deadline. */
 export function waitForRoom(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -47,7 +50,7 @@
   return [line, ...shedding.shedOverflow(state, service, now)];
 }
 
-/** Tells whether links of a service may still open soon. */
+/** Whether links of a service may still open soon. */
 function isOpening(state: entryState.EntryState, service: string, now: number): boolean {
   const { lastLinkedMs } = entryState.getService(state, service);
   const document = entryState.getDocument(state, service);
@@ -57,7 +60,7 @@
   return staying === true && now - lastLinkedMs < LINK_GRACE_MS;
 }
 
-/** Decides on a request whose service has no agent at all. */
+/** Parks or fails a request whose service has no usable agent. */
 export function handleNoAgent(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -76,9 +79,9 @@
 }
 
 /**
- * Lists the agents whose queue, as last reported, takes a request. Asking the
- * others costs two messages each and ends in a refusal; they wake the request
- * when they have room.
+ * Lists the agents whose queue, by their last report, has room for a request.
+ * Asking the others would cost two messages each and end in a refusal. The
+ * request is retried when one of them has room.
  */
 export function listWithRoom(
   state: entryState.EntryState,
@@ -88,7 +91,7 @@
   return agents.filter((agent) => countRoom(state, agent, request.tierRank) > 0);
 }
 
-/** Counts the requests of a tier that an agent has room for, as it last reported. */
+/** Counts the requests of a tier for which an agent has room, by its last report. */
 function countRoom(
   state: entryState.EntryState,
   agent: entryState.AgentView,
@@ -102,9 +105,9 @@
 }
 
 /**
- * Asks an agent that has room for requests that wait for it, in their turn.
+ * Asks an agent that has room to take parked requests, in queue order.
  *
- * @param leastRoom room that is known of besides what the agent last reported
+ * @param leastRoom room that is known of, whatever the agent last reported
  */
 export function retryParked(
   state: entryState.EntryState,
@@ -139,7 +142,7 @@
   return effects;
 }
 
-/** Asks every agent that has room for requests that wait for it. */
+/** Asks every agent that has room to take parked requests. */
 export function retryAllParked(
   state: entryState.EntryState,
   service: string,
--- a/packages/core/src/entry/placement.test.ts
+++ b/packages/core/src/entry/placement.test.ts
@@ -28,7 +28,7 @@
   return candidates.map((one) => one.backendServerId);
 }
 
-nodeTest.test('ways to push', () => {
+nodeTest.test('push strategies', () => {
   const candidates = [
     makeCandidate('a', { outstandingTokens: 900, reportedTokens: 10 }),
     makeCandidate('b', { outstandingTokens: 500, reportedTokens: 20 }),
@@ -52,8 +52,9 @@
 });
 
 nodeTest.test('one with room is asked alone, as long as it is worth the wait', () => {
-  // Both have room, one takes 250 ms and one 500 ms. Asked together, the nearer
-  // would win; asked after the gap, the slow one only makes up for a lost grant.
+  // Both have room; one takes 250 ms and the other 500 ms. If both were asked at
+  // once, the nearer one would win. Asked after the difference, the slower one only
+  // replaces a lost grant.
   const fast = makeCandidate('fast', { tokensPerSecond: 2000 });
   const plan = placement.selectLeastDelay([makeCandidate('slow'), fast], CONTEXT, 3);
   assert.deepEqual(listIds(plan.asked), ['fast']);
--- a/packages/core/src/entry/placement.ts
+++ b/packages/core/src/entry/placement.ts
@@ -1,83 +1,86 @@
-/** Ways to choose among backend servers. All are pure functions. */
+/** Strategies that choose among backend servers. All are pure functions. */
 
-/** What a choice may look at. */
+/** The inputs of a choice for one backend server. */
 export type Candidate = {
   backendServerId: string;
   /** Estimated tokens of this entry's own requests there. */
   outstandingTokens: number;
-  /** Tokens queued and running there as last reported; stale by nature. */
+  /** Tokens queued and running there by its last report, so always somewhat stale. */
   reportedTokens: number;
-  /** Requests queued there, as reported or because its grants are still awaited. */
+  /** Requests queued there, by its last report or because its grants are still awaited. */
   queued: number;
-  /** Their estimated tokens. */
+  /** Estimated tokens of the queued requests. */
   queuedTokens: number;
-  /** Measured speed; 0 while unknown. */
+  /** Measured throughput; 0 while unknown. */
   tokensPerSecond: number;
-  /** Prompt tokens of the request that are likely to be in its prefix cache. */
+  /** Prompt tokens of the request that are probably in its prefix cache. */
   cachedTokens: number;
-  /** Time that a request takes there for each token, as seen by this entry; 0 while unknown. */
+  /** Time for each token of a request there, as observed by this entry; 0 while unknown. */
   msPerToken: number;
-  /** Share of its usual traffic that it may get, above 0; below 1 after an ejection. */
+  /** Share of the normal traffic that it may get, above 0; below 1 after an ejection. */
   trafficShare: number;
-  /** Where this prefix goes when noAgent remembers it, the same on every entry. */
+  /** The default location of a prefix whose location is unknown, the same on every entry. */
   preferred: boolean;
 };
 
 export type PlacementContext = {
-  /** Uniform in [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   drawRandom: () => number;
-  /** Placements of this service so far. */
+  /** Number of placements of this service so far. */
   serial: number;
   /** Cost of the request, tokens. */
   estimatedTokens: number;
 };
 
-/** Chooses one of at least one candidates. */
+/** Chooses one of the candidates, of which there is at least one. */
 export type ChooseBackendServer = (
   candidates: readonly Candidate[],
   context: PlacementContext,
 ) => Candidate;
 
-/** Which backend servers are asked for a place now, and when more are asked. */
+/** Which backend servers are asked for a slot now, and when more are asked. */
 export type ReservationPlan = {
   asked: Candidate[];
-  /** Time to wait for a grant before one more is asked, milliseconds. */
+  /** How long to wait for a grant before one more is asked, milliseconds. */
   waitMs: number;
 };
 
-/** Plans whom to ask; candidates have not been asked for this request yet. */
+/** Plans which candidates to ask for a slot. None of them has been asked for this request yet. */
 export type PlanReservations = (
   candidates: readonly Candidate[],
   context: PlacementContext,
   count: number,
 ) => ReservationPlan;
 
-/** Speed assumed until one has been measured, tokens per second. */
+/** Throughput assumed until one has been measured, tokens per second. */
 const ASSUMED_TOKENS_PER_SECOND = 1000;
 
 const MS_PER_SECOND = 1000;
-/** Wait for a grant before one more backend server is asked, milliseconds. */
+/** How long to wait for a grant before one more backend server is asked, milliseconds. */
 const ASK_MORE_MS = 500;
-/** Wait for one that seems to have room before others are asked, milliseconds. */
+/**
+ * Minimum wait for a backend server that seems to have room before others are
+ * asked, milliseconds.
+ */
 const MIN_IDLE_WAIT_MS = 10;
-/** Shortest wait for the backend server that has the prefix, milliseconds. */
+/** Minimum wait for the backend server that has the prefix cached, milliseconds. */
 const MIN_AFFINITY_WAIT_MS = 20;
 
-/** Gets the speed to reckon with, tokens per second. */
+/** Returns the measured or assumed throughput, tokens per second. */
 function getSpeed(candidate: Candidate): number {
   return candidate.tokensPerSecond || ASSUMED_TOKENS_PER_SECOND;
 }
 
-/** Estimates how long a candidate needs for what this entry gave it, in seconds. */
+/** Estimates how long a candidate needs for the requests of this entry, seconds. */
 function estimateOwnDelay(candidate: Candidate): number {
   return candidate.outstandingTokens / getSpeed(candidate);
 }
 
 /**
- * Estimates when a candidate would end a request, milliseconds from now.
+ * Estimates how long a candidate would take to complete a request, milliseconds.
  *
- * This entry's own work there is known as of now, the queue as of the last
- * report; both hold a request up.
+ * The entry's own work there is known exactly, the rest of the queue only by the
+ * last report. The request waits for both.
  */
 export function estimateDelay(candidate: Candidate, estimatedTokens: number): number {
   const ahead = candidate.outstandingTokens + candidate.queuedTokens;
@@ -90,7 +93,7 @@
   return (aheadMs + ownMs) / candidate.trafficShare;
 }
 
-/** Picks one of the candidates that score least. */
+/** Picks one of the candidates with the lowest estimate. */
 function pickLeast(
   candidates: readonly Candidate[],
   estimate: (candidate: Candidate) => number,
@@ -102,7 +105,7 @@
   return best[Math.floor(drawRandom() * best.length)];
 }
 
-/** Chooses in turn. */
+/** Chooses the candidates in round-robin order. */
 export function chooseRoundRobin(
   candidates: readonly Candidate[],
   context: PlacementContext,
@@ -110,7 +113,7 @@
   return candidates[context.serial % candidates.length];
 }
 
-/** Chooses the better of two drawn at random, by the load that they reported. */
+/** Chooses the less loaded of two random candidates, by reported load. */
 export function choosePowerOfTwoChoices(
   candidates: readonly Candidate[],
   context: PlacementContext,
@@ -122,7 +125,7 @@
   return b.reportedTokens < a.reportedTokens ? b : a;
 }
 
-/** Chooses the candidate that ends this entry's own work soonest. */
+/** Chooses the candidate that completes this entry's own work soonest. */
 export function chooseLeastOutstanding(
   candidates: readonly Candidate[],
   context: PlacementContext,
@@ -130,7 +133,7 @@
   return pickLeast(candidates, estimateOwnDelay, context.drawRandom);
 }
 
-/** Sorts by estimated delay; equal ones in random order, so that entries spread. */
+/** Sorts by estimated delay. Ties are in random order, so that entries spread their requests. */
 function sortByDelay(candidates: readonly Candidate[], context: PlacementContext): Candidate[] {
   const scored = candidates.map((candidate) => ({
     candidate,
@@ -141,18 +144,21 @@
   return scored.map((one) => one.candidate);
 }
 
-/** Computes how much sooner the first would end a request than the second, milliseconds. */
+/**
+ * Computes how much sooner the first candidate would complete a request than the
+ * second, milliseconds.
+ */
 function computeDelayGap(sorted: readonly Candidate[], estimatedTokens: number): number {
   const [first, second] = sorted.map((candidate) => estimateDelay(candidate, estimatedTokens));
   return second === undefined ? ASK_MORE_MS : second - first;
 }
 
 /**
- * Asks the backend servers with the least estimated delay.
+ * Asks the backend servers with the lowest estimated delay.
  *
- * One that has the prompt's prefix is asked alone, for as long as the prefill
- * that it saves would take: waiting longer would cost more than it saves. So
- * affinity is bounded by load without a threshold to set.
+ * A backend server that has the prompt's prefix cached is asked alone, for as
+ * long as the prefill that the cache saves would take: waiting longer would cost
+ * more than it saves. This limits affinity by load, without a threshold to tune.
  */
 export function selectLeastDelay(
   candidates: readonly Candidate[],
@@ -166,15 +172,16 @@
     const waitMs = Math.min(Math.max(savedMs, MIN_AFFINITY_WAIT_MS), ASK_MORE_MS);
     return { asked: [best], waitMs };
   }
-  // Where all have room, the first grant comes from the nearest, not the best.
+  // If all had room and were asked together, the first grant would come from the
+  // nearest one, not the best.
   if (best?.queued === 0) {
     const gapMs = computeDelayGap(sorted, context.estimatedTokens);
     return { asked: [best], waitMs: Math.min(Math.max(gapMs, MIN_IDLE_WAIT_MS), ASK_MORE_MS) };
   }
   const asked = sorted.slice(0, count);
   const preferred = sorted.find((candidate) => candidate.preferred);
-  // Entries that do not know a prefix yet meet at the same backend server, and
-  // leave it out where it is much busier than the others.
+  // Entries that do not know the location of a prefix yet choose the same backend
+  // server, unless it is much busier than the others.
   if (preferred !== undefined && !asked.includes(preferred) && asked.length > 1) {
     const least = estimateDelay(best, context.estimatedTokens);
     if (estimateDelay(preferred, context.estimatedTokens) <= 2 * least) {
--- a/packages/core/src/entry/request-accounting.ts
+++ b/packages/core/src/entry/request-accounting.ts
@@ -1,6 +1,6 @@
 /**
- * Moves requests between the sets that the entry counts them in. Every count
- * is kept as requests move, so that no decision scans what is held.
+ * Moves requests between the sets and queues of the entry's state. All counts are
+ * updated as requests move, so that no decision has to scan the held requests.
  */
 import * as startQueue from '../shared/start-queue.js';
 import * as attemptRef from '../shared/attempt-ref.js';
@@ -12,10 +12,10 @@
 
 const { RESERVATION } = startQueue.QueuedKind;
 
-/** How long an agent may take to say what became of an overdue attempt. */
+/** How long an agent may take to report what became of an overdue attempt, milliseconds. */
 export const WITHDRAW_GRACE_MS = 250;
 
-/** Gets the state of a request's service. */
+/** Returns the state of a request's service. */
 export function getRequestService(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -23,7 +23,7 @@
   return entryState.getService(state, request.arrived.service);
 }
 
-/** Describes a request for a queue by tier and workspace. */
+/** Describes a request as an item of a queue by tier and workspace. */
 function toQueuedItem(request: entryState.EntryRequest): startQueue.QueuedItem {
   return {
     kind: RESERVATION,
@@ -36,7 +36,7 @@
   };
 }
 
-/** Computes when something is due for a request, milliseconds since the Unix epoch. */
+/** Computes when the next action for a request is due, milliseconds since the Unix epoch. */
 function computeDueTime(request: entryState.EntryRequest, now: number): number {
   if (request.status === entryState.RequestStatus.WAITING) {
     const retryAtMs = request.retryAtMs || Infinity;
@@ -48,7 +48,7 @@
     : withdrawnMs + WITHDRAW_GRACE_MS;
 }
 
-/** Brings the time at which something is due for a held request up to date. */
+/** Updates the time at which the next action for a held request is due. */
 export function updateDueTime(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -59,7 +59,7 @@
   }
 }
 
-/** Adds a request that was taken in. */
+/** Adds an admitted request. */
 export function addRequest(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -73,7 +73,7 @@
   beginWaiting(state, request, now);
 }
 
-/** Takes a request that has ended out of every set. */
+/** Removes a request that has ended from every set and queue. */
 export function removeRequest(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -94,7 +94,7 @@
   }
 }
 
-/** Puts a request that no agent holds among those that wait. */
+/** Adds a request that no agent holds to the waiting requests. */
 export function beginWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -110,14 +110,14 @@
   updateDueTime(state, request, now);
 }
 
-/** Takes a request out of those that wait. */
+/** Removes a request from the waiting requests. */
 export function endWaiting(state: entryState.EntryState, request: entryState.EntryRequest): void {
   const service = getRequestService(state, request);
   service.waitingIds.delete(request.requestId);
   startQueue.removeItem(service.parked, RESERVATION, request.requestId);
 }
 
-/** Lets a waiting request wait for room at any agent. */
+/** Queues a waiting request until any agent has room. */
 export function addParked(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -128,7 +128,7 @@
   updateDueTime(state, request, now);
 }
 
-/** Estimates the tokens that go before a request that waits for room. */
+/** Estimates the tokens that are queued ahead of a request that waits for room. */
 export function estimateTokensAhead(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -141,18 +141,21 @@
   );
 }
 
-/** Counts waiting requests that go before a new one of a tier. */
+/** Counts the requests that are ahead of a new request of a tier. */
 export function countAhead(service: serviceState.ServiceState, tierRank: number): number {
   const counts = startQueue.countByTier(service.unstarted);
   return counts.slice(0, tierRank + 1).reduce((sum, count) => sum + count, 0);
 }
 
-/** Tells whether the entry holds unstarted requests that are less urgent than a tier. */
+/** Whether the entry holds unstarted requests that are less urgent than a tier. */
 export function hasLessUrgent(service: serviceState.ServiceState, tierRank: number): boolean {
   return startQueue.findEvictionCandidate(service.unstarted, tierRank) !== undefined;
 }
 
-/** Notes that a request may have started, or that its agent was asked to give it up. */
+/**
+ * Removes a request from those that can be shed, because it may have started or
+ * its agent was asked to withdraw it.
+ */
 export function removeUnstarted(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -162,7 +165,7 @@
   service.withdrawnIds.delete(request.requestId);
 }
 
-/** Notes that an agent started the present attempt. */
+/** Records that an agent started the current attempt. */
 export function markStarted(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -178,7 +181,7 @@
   queueThroughput.noteStart(throughput, request.arrived.estimatedTokens, request.arrivedMs, now);
 }
 
-/** Notes that an agent holds a request from now on. */
+/** Records that an agent holds a request. */
 export function addTarget(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -192,7 +195,7 @@
   }
 }
 
-/** Frees the place that a request takes in the accounts of its target. */
+/** Removes a request from the accounting of the agent that held it. */
 export function releaseTarget(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -208,7 +211,7 @@
   request.target = undefined;
 }
 
-/** Notes that a link is open. */
+/** Records that a link is open. */
 export function markLinked(
   state: entryState.EntryState,
   agent: entryState.AgentView,
@@ -221,7 +224,7 @@
   service.lastLinkedMs = now;
 }
 
-/** Notes that a link is gone. */
+/** Records that a link is closed. */
 export function markUnlinked(
   state: entryState.EntryState,
   agent: entryState.AgentView,
@@ -234,7 +237,7 @@
   agent.linked = false;
   agent.opening = false;
   service.linkedIds.delete(agent.backendServerId);
-  // Its reservations are lost with the link; no grant will come for them.
+  // The reservations are lost with the link; no grant will arrive for them.
   agent.reservedIds.forEach((requestId) => {
     state.requests.get(requestId)?.reservedAt.delete(agent.backendServerId);
     state.followUps.push({ kind: 'ask', requestId });
--- a/packages/core/src/entry/reservations.test.ts
+++ b/packages/core/src/entry/reservations.test.ts
@@ -23,9 +23,9 @@
 });
 
 nodeTest.test('a late grant and a grant for an unknown request', () => {
-  // Two agents grant at the same moment, and one grants a request that has
-  // ended. The entry offers once and gives the other places back: held on, each
-  // would keep an engine's place empty until it lapsed.
+  // Two agents grant at the same time, and one grants a slot for a request that has
+  // ended. The entry must offer once and release the other slots. Otherwise each
+  // would keep a slot of an engine empty until it expired.
   const fixture = entryFixture.createFixture({ agents: AGENTS, busy: true });
   const caller = entryFixture.sendRequest(fixture);
   const id = entryFixture.getRequestId(fixture, caller);
@@ -38,9 +38,9 @@
   assert.deepEqual(entryFixture.listSent(unknown, 'release')[0].value.requestId, 'nobody');
 });
 
-nodeTest.test('refusals lead to further agents, then to waiting for room', () => {
-  // Every queue is full of work as urgent. The request is not shed: it waits in
-  // the entry, and goes to the first agent that reports room.
+nodeTest.test('after refusals, further agents are asked, then the request waits for room', () => {
+  // Every queue is full of equally urgent work. The request must not be shed. It
+  // waits in the entry and goes to the first agent that reports room.
   const fixture = entryFixture.createFixture({
     agents: AGENTS,
     limits: { maxQueued: 4 },
@@ -81,8 +81,9 @@
 });
 
 nodeTest.test('a lost link loses its reservations only', () => {
-  // The link to an agent closes while a request waits for its grant. The place
-  // is asked elsewhere; the grant of the next life would never come.
+  // The link to an agent closes while a request waits for its grant. Another agent
+  // must be asked, because the agent's next incarnation knows nothing of the
+  // reservation.
   const fixture = entryFixture.createFixture({ agents: AGENTS, busy: true });
   const caller = entryFixture.sendRequest(fixture);
   const [lost] = entryFixture.listAsked(fixture, caller);
@@ -94,8 +95,8 @@
 });
 
 nodeTest.test('one more agent is asked when no grant comes', () => {
-  // The three agents asked are paused: they neither grant nor refuse. Each half
-  // second one more is asked, so that no request waits for them alone.
+  // The three agents asked are paused and neither grant nor refuse. One more must
+  // be asked every half second, so that no request depends on them alone.
   const fixture = entryFixture.createFixture({ agents: AGENTS, busy: true });
   const caller = entryFixture.sendRequest(fixture);
   entryFixture.advance(fixture, 500);
@@ -104,7 +105,7 @@
   assert.equal(entryFixture.listAsked(fixture, caller).length, 5);
 });
 
-nodeTest.test('a grant of a leaving agent is given back', () => {
+nodeTest.test('a grant of a leaving agent is released', () => {
   const fixture = entryFixture.createFixture({ agents: AGENTS, busy: true });
   const caller = entryFixture.sendRequest(fixture);
   const [leaving] = entryFixture.listAsked(fixture, caller);
@@ -114,7 +115,7 @@
   assert.deepEqual(entryFixture.listSent(effects, 'release')[0].to, leaving);
 });
 
-nodeTest.test('a caller that leaves frees the places asked for', () => {
+nodeTest.test('a caller that disconnects releases the slots asked for', () => {
   const fixture = entryFixture.createFixture({ agents: AGENTS, busy: true });
   const caller = entryFixture.sendRequest(fixture);
   const asked = entryFixture.listAsked(fixture, caller);
@@ -126,9 +127,9 @@
   assert.equal(fixture.state.due.priorities.size, 0);
 });
 
-nodeTest.test('told at once where no agent can end it in time', () => {
-  // Each agent says that the request cannot end by its deadline. Waiting on
-  // would only tell the caller later.
+nodeTest.test('fails immediately if no agent can meet the deadline', () => {
+  // Each agent reports that it cannot complete the request before its deadline.
+  // Waiting would only delay the failure.
   const fixture = entryFixture.createFixture({ agents: ['a', 'b'] });
   const caller = entryFixture.sendRequest(fixture);
   const id = entryFixture.getRequestId(fixture, caller);
--- a/packages/core/src/entry/reservations.ts
+++ b/packages/core/src/entry/reservations.ts
@@ -1,11 +1,16 @@
-/** Which agents were asked for a place for which requests. */
+/**
+ * Tracks which agents were asked for a slot for which requests.
+ *
+ * A slot is one request's share of a backend server's concurrency, called a place
+ * in other parts of the code.
+ */
 import * as entryEvent from './entry-event.js';
 import * as entryMessages from './entry-messages.js';
 import * as entryState from './entry-state.js';
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Asks an agent for a place. */
+/** Asks an agent for a slot. */
 export function addReservation(
   request: entryState.EntryRequest,
   agent: entryState.AgentView,
@@ -16,7 +21,7 @@
   return [entryMessages.sendToAgent(agent.backendServerId, body)];
 }
 
-/** Forgets a reservation that its agent has ended. */
+/** Removes a reservation that its agent has ended. */
 export function removeReservation(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -26,12 +31,12 @@
   state.agents.get(backendServerId)?.reservedIds.delete(request.requestId);
 }
 
-/** Builds the notice that a place at an agent is not needed. */
+/** Builds the message that releases a slot at an agent. */
 export function sendRelease(backendServerId: string, requestId: string): entryEvent.EntryEffect {
   return entryMessages.sendToAgent(backendServerId, entryMessages.buildRelease(requestId));
 }
 
-/** Releases each reservation of a request but the one that is used. */
+/** Releases every reservation of a request except the one that is used. */
 export function releaseReservations(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/retries.test.ts
+++ b/packages/core/src/entry/retries.test.ts
@@ -6,7 +6,7 @@
 const { ResultCode, RunState } = schema;
 const REPEAT = { path: '/repeat' };
 
-/** Grants a request at the agent that was asked first and starts it there. */
+/** Grants and starts a request at the agent that was asked last, and returns that agent. */
 function runAt(fixture: entryFixture.Fixture, caller: number, attempt = 1): string {
   const id = entryFixture.getRequestId(fixture, caller);
   const asked = entryFixture.listAsked(fixture, caller).at(-1) ?? '';
@@ -15,9 +15,9 @@
   return asked;
 }
 
-nodeTest.test('a broken run is repeated elsewhere after a pause', () => {
-  // The engine of the first agent fails. The request waits out a pause drawn at
-  // random, so that a burst of failures does not come back as one.
+nodeTest.test('a failed run is retried elsewhere after a backoff', () => {
+  // The engine of the first agent fails. The request must wait for a random
+  // backoff, so that a burst of failures does not return as one burst.
   const fixture = entryFixture.createFixture({ agents: ['a', 'b', 'c', 'd'], busy: true });
   const caller = entryFixture.sendRequest(fixture, REPEAT);
   const id = entryFixture.getRequestId(fixture, caller);
@@ -31,7 +31,7 @@
   assert.ok(!asked.includes(failed));
 });
 
-nodeTest.test('a request that may run once is never repeated', () => {
+nodeTest.test('a request that may run once is never retried', () => {
   const fixture = entryFixture.createFixture({ agents: ['a', 'b'] });
   const caller = entryFixture.sendRequest(fixture);
   const id = entryFixture.getRequestId(fixture, caller);
@@ -41,9 +41,9 @@
   assert.equal(failure?.runState, RunState.RAN);
 });
 
-nodeTest.test('a repeat that is not run does not undo the first run', () => {
-  // The first attempt ran and broke; the repeat meets its deadline while it
-  // waits. Told "not run", the caller would order again.
+nodeTest.test('a retry that is not run does not hide the first run', () => {
+  // The first attempt ran and failed, and the retry reaches its deadline while it
+  // waits. If the caller got "not run", it would submit the same work again.
   const fixture = entryFixture.createFixture({ agents: ['a', 'b'] });
   const caller = entryFixture.sendRequest(fixture, REPEAT);
   const id = entryFixture.getRequestId(fixture, caller);
@@ -55,9 +55,9 @@
   assert.equal(failure?.runState, RunState.RAN);
 });
 
-nodeTest.test('one crash is repeated, a second is not', () => {
-  // The request crashes the engine of each agent that runs it. Repeated without
-  // end, it would take down one backend server after another.
+nodeTest.test('a first crash is retried, a second is not', () => {
+  // A request crashes the engine of each agent that runs it. Retried without a
+  // limit, it would crash one backend server after another.
   const fixture = entryFixture.createFixture({ agents: ['a', 'b', 'c', 'd'], busy: true });
   const caller = entryFixture.sendRequest(fixture, REPEAT);
   const id = entryFixture.getRequestId(fixture, caller);
@@ -69,9 +69,9 @@
   assert.equal(failure?.runState, RunState.RAN);
 });
 
-nodeTest.test('a spent budget ends repeats', () => {
-  // Every engine fails. Ten percent of first attempts and a floor are repeated;
-  // the rest is told at once, as run, with a time to come back.
+nodeTest.test('an exhausted budget ends retries', () => {
+  // Every engine fails. Ten percent of the first attempts and a minimum number are
+  // retried. The others must fail immediately as run, with a retry-after.
   const limits = { retryBudgetPercent: 10 };
   const fixture = entryFixture.createFixture({ agents: ['a', 'b', 'c', 'd'], limits });
   const callers = Array.from({ length: 20 }, () => {
@@ -80,15 +80,16 @@
     entryFixture.fail(fixture, runAt(fixture, caller), id, ResultCode.ENGINE_FAILED);
     return caller;
   });
-  const told = callers.map((caller) => entryFixture.findFailure(fixture, caller));
-  const spent = told.filter((failure) => failure?.code === ResultCode.RETRY_BUDGET_SPENT);
+  const failures = callers.map((caller) => entryFixture.findFailure(fixture, caller));
+  const spent = failures.filter((failure) => failure?.code === ResultCode.RETRY_BUDGET_SPENT);
   assert.equal(spent.length, 15);
   assert.ok(spent.every((failure) => failure?.runState === RunState.RAN));
 });
 
-nodeTest.test('a spent budget does not stop an urgent repeat before drafts', () => {
-  // The budget is spent while a draft waits in the entry. An urgent request
-  // whose run breaks is repeated all the same: the draft is what may be shed.
+nodeTest.test('an exhausted budget does not stop an urgent retry before drafts', () => {
+  // The budget is exhausted while a draft waits in the entry. An urgent request
+  // whose attempt fails must still be retried, because the draft can be shed
+  // instead.
   const limits = { retryBudgetPercent: 1 };
   const fixture = entryFixture.createFixture({ agents: ['a', 'b', 'c', 'd'], limits });
   const draft = entryFixture.sendRequest(fixture, { tokenSha256: 'brim-draft' });
@@ -101,10 +102,10 @@
   assert.equal(entryFixture.findFailure(fixture, draft), undefined);
 });
 
-nodeTest.test('a key that may be repeated is not told as not run', () => {
-  // A call is sent again under its key through this entry, which has no agent
-  // and gives it up, while the first call runs through another entry. Nobody
-  // closes the key of a repeatable request, so the caller is not told "not run".
+nodeTest.test('a key that may be repeated is not reported as not run', () => {
+  // A call is sent again with its key through this entry, which has no agent and
+  // fails it, while the first call runs through another entry. The key of a
+  // repeatable request is never closed, so the caller must not get "not run".
   const fixture = entryFixture.createFixture({ agents: [] });
   const keyed = entryFixture.sendRequest(fixture, { ...REPEAT, key: 'key-1' });
   const plain = entryFixture.sendRequest(fixture, REPEAT);
--- a/packages/core/src/entry/retries.ts
+++ b/packages/core/src/entry/retries.ts
@@ -1,4 +1,4 @@
-/** Repeats idempotent requests whose run broke, within a budget. */
+/** Retries idempotent requests whose attempt failed, within a budget. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as requestAccounting from './request-accounting.js';
@@ -11,11 +11,11 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Crashes after which a request is not repeated: it is then a likely cause. */
+/** Number of crashes after which a request is not retried, because it is then a likely cause. */
 const MAX_CRASHES = 1;
 const MAX_RETRIES = 3;
 
-/** Waits out a pause before the request is placed again. */
+/** Starts the backoff before the request is placed again. */
 function startBackoff(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -38,7 +38,7 @@
   ];
 }
 
-/** Ends or repeats a request whose attempt was lost or broke. */
+/** Fails or retries a request whose attempt was lost or failed. */
 export function handleFailedRun(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -59,8 +59,8 @@
   }
   const service = requestAccounting.getRequestService(state, request);
   const { retryBudgetPercent } = entryState.getLimits(state, service.service);
-  // A spent budget sheds load, and no urgent request is shed before less urgent
-  // ones. Those that this entry holds make room for the repeat.
+  // An exhausted budget sheds load, and no urgent request may be shed before less
+  // urgent ones. Those that this entry holds can be shed for the retry.
   const canShedOthers = requestAccounting.hasLessUrgent(service, request.tierRank);
   if (retryBudget.takeRetry(service.retryBudget, retryBudgetPercent, now) || canShedOthers) {
     return startBackoff(state, request, failure, now);
--- a/packages/core/src/entry/service-state.ts
+++ b/packages/core/src/entry/service-state.ts
@@ -1,4 +1,4 @@
-/** What an entry keeps for one service beside its requests. */
+/** State that an entry keeps for one service, apart from the requests themselves. */
 import * as startQueue from '../shared/start-queue.js';
 import * as documentIndex from '../shared/document-index.js';
 import * as costModel from './cost-model.js';
@@ -9,32 +9,32 @@
 
 export type ServiceState = {
   service: string;
-  /** Of the document in force; undefined before the first. */
+  /** Index of the active document; undefined before the first one. */
   index: documentIndex.DocumentIndex | undefined;
   /** Backend servers with an open link. */
   linkedIds: Set<string>;
-  /** When a link was last open or first wanted, milliseconds. */
+  /** When a link was last open or first wanted, milliseconds since the Unix epoch. */
   lastLinkedMs: number;
-  /** Requests held of each workspace. */
+  /** Number of requests held, by workspace. */
   heldByWorkspace: Map<string, number>;
   /** Requests that no agent holds. */
   waitingIds: Set<string>;
-  /** Those of them that wait for room at any agent, in the order of their turn. */
+  /** Waiting requests that are queued until an agent has room, in queue order. */
   parked: startQueue.StartQueue;
-  /** Requests not known to have started, that this entry could still shed. */
+  /** Requests that are not known to have started, so that this entry could still shed them. */
   unstarted: startQueue.StartQueue;
-  /** Requests withdrawn from agents to make room; their agents have not replied. */
+  /** Requests withdrawn from agents to make room; the agents have not replied yet. */
   withdrawnIds: Set<string>;
   throughput: queueThroughput.QueueThroughput;
   retryBudget: retryBudget.RetryBudget;
   costs: costModel.CostModel;
   durations: durationModel.DurationModel;
-  prefixes: prefixLocations.PrefixMemory;
-  /** Placements so far. */
+  prefixes: prefixLocations.PrefixLocations;
+  /** Number of placements so far. */
   placements: number;
 };
 
-/** Creates the state of a service of which nothing is known. */
+/** Creates the state of a service without any history. */
 export function createServiceState(service: string): ServiceState {
   return {
     service,
--- a/packages/core/src/entry/shedding.ts
+++ b/packages/core/src/entry/shedding.ts
@@ -1,4 +1,4 @@
-/** Keeps the waiting requests of a service within their bound. */
+/** Keeps the number of waiting requests of a service within its limit. */
 import * as schema from '@toucanproxy/schema';
 import * as startQueue from '../shared/start-queue.js';
 import * as effect from '../shared/effect.js';
@@ -15,7 +15,7 @@
 type Effects = entryEvent.EntryEffect[];
 type Step = { effects: Effects; madeRoom: boolean };
 
-/** Draws when a caller of a tier should come back, milliseconds. */
+/** Draws a retry-after for callers of a tier, milliseconds. */
 export function drawRetryAfter(
   state: entryState.EntryState,
   service: serviceState.ServiceState,
@@ -25,7 +25,7 @@
   return queueThroughput.drawRetryAfter(service.throughput, ahead, state.policy.drawRandom);
 }
 
-/** Ends a waiting request so that others find room. */
+/** Sheds a waiting request to make room for others. */
 export function shed(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -40,7 +40,7 @@
   return [...broken, ...outcomes.fail(state, request, failure, now)];
 }
 
-/** Asks an agent to give up a request that it may not have started. */
+/** Asks an agent to withdraw a request that it may not have started. */
 function withdrawOffer(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -54,16 +54,18 @@
   return [entryMessages.sendToAgent(target.backendServerId, body)];
 }
 
-/** Tells whether less urgent work waits at an agent, as it last reported. */
+/** Whether less urgent work is queued at an agent, by its last report. */
 function hasLessUrgent(agent: entryState.AgentView, tierRank: number): boolean {
   return (agent.load?.queuedByTier ?? []).slice(tierRank + 1).some((count) => count > 0);
 }
 
 /**
- * Finds an agent where less urgent work waits and that has not refused a request.
+ * Returns an agent that has less urgent work queued and has not refused a
+ * request.
  *
- * The agent evicts that work for this request, so shedding this one before it
- * was asked would lose an urgent request while a less urgent one runs.
+ * The agent evicts that work for this request. If this request were shed before
+ * the agent was asked, an urgent request would be lost while a less urgent one
+ * runs.
  */
 function findEvicting(
   state: entryState.EntryState,
@@ -76,7 +78,7 @@
     .find((agent) => hasLessUrgent(agent, request.tierRank));
 }
 
-/** Sheds one waiting request, unless an agent is still to be asked. */
+/** Sheds one waiting request, unless there is still an agent to ask. */
 function shedWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -94,7 +96,7 @@
   return { effects, madeRoom: !service.waitingIds.has(request.requestId) };
 }
 
-/** Makes room for one request: the newest of the least urgent tier gives strategy. */
+/** Makes room for one request by shedding the newest one of the least urgent tier. */
 function makeRoom(
   state: entryState.EntryState,
   service: serviceState.ServiceState,
@@ -110,7 +112,7 @@
     : { effects: withdrawOffer(state, request, request.target, now), madeRoom: true };
 }
 
-/** Sheds requests until those that wait are within the bound of the document. */
+/** Sheds requests until the number of waiting ones is within the document's limit. */
 export function shedOverflow(
   state: entryState.EntryState,
   service: serviceState.ServiceState,
--- a/packages/entry/src/agent-link-task.ts
+++ b/packages/entry/src/agent-link-task.ts
@@ -1,4 +1,4 @@
-/** The task that owns an entry's links to agents. */
+/** The task that owns the entry's links to agents. */
 import * as core from '@toucanproxy/core';
 import * as runtime from '@toucanproxy/runtime';
 import * as schema from '@toucanproxy/schema';
@@ -10,7 +10,7 @@
   stop: () => void;
 };
 
-/** Creates the task with no link open. */
+/** Creates the task without any open link. */
 export function createAgentLinkTask(post: (event: core.EntryEvent) => void): AgentLinkTask {
   const clients = new Map<string, runtime.LinkClient>();
   const close = (backendServerId: string) => {
@@ -25,7 +25,7 @@
         address,
         receive: (message) => post({ kind: 'agentMessage', backendServerId, message }),
         onClosed: () => {
-          // A link that was replaced says nothing of the one in its place.
+          // The closing of a link that was replaced does not affect its replacement.
           if (clients.get(backendServerId) === client) {
             clients.delete(backendServerId);
             post({ kind: 'linkClosed', backendServerId });
--- a/packages/entry/src/api-path.ts
+++ b/packages/entry/src/api-path.ts
@@ -1,6 +1,6 @@
-/** Finds the service and its path in the URL of a caller's request. */
+/** Determines the service and the path below it from the URL of a caller's request. */
 
-/** OpenAI-style paths, where the body's `model` names the service. */
+/** OpenAI-style paths, for which the body's `model` names the service. */
 const MODEL_PATHS = new Set(['/v1/chat/completions', '/v1/completions']);
 const SERVICE_PATTERN = /^\/services\/([A-Za-z0-9._-]+)(\/.*)$/;
 const BASE_URL = 'http://service';
@@ -12,12 +12,12 @@
   | { kind: 'unknown' };
 
 /**
- * Resolves a path below a service; undefined where it would leave it.
+ * Resolves a path below a service; undefined if it would leave the service.
  *
- * The agent joins the path to the URL of its service. "//10.0.0.9/" would
- * send the request to another host, and "/open/../closed" would be matched by
- * one route and served by another. A path that is resolved already, on the
- * same host, can do neither.
+ * The agent appends the path to the URL of its service. "//10.0.0.9/" would send
+ * the request to another host, and "/open/../closed" would match one route and be
+ * served by another. A path that is already resolved, on the same host, can do
+ * neither.
  */
 function resolvePath(path: string): string | undefined {
   if (!URL.canParse(path, BASE_URL)) {
@@ -29,7 +29,7 @@
   return isSame ? `${url.pathname}${url.search}` : undefined;
 }
 
-/** Reads the URL of a request. */
+/** Parses the URL of a request. */
 export function parseApiPath(url: string): ApiPath {
   const [pathname] = url.split('?');
   if (MODEL_PATHS.has(pathname)) {
--- a/packages/entry/src/app.ts
+++ b/packages/entry/src/app.ts
@@ -1,4 +1,4 @@
-/** The entry daemon: joins the core to its tasks. */
+/** The entry daemon: connects the core to the tasks that carry out its effects. */
 import * as crypto from 'node:crypto';
 import type * as bunyan from 'bunyan';
 import * as core from '@toucanproxy/core';
@@ -13,14 +13,14 @@
 export type EntryDaemon = {
   callerPort: number;
   operatorPort: number;
-  /** Takes no new requests, lets those in hand end, then stops. */
+  /** Stops accepting requests, lets the ones in flight end, then stops. */
   shutDown: () => void;
   stop: () => void;
 };
 
 type EntryTask = runtime.CoreTask<core.EntryEvent, core.EntryEffect>;
 
-/** The tasks that carry out the core's effects. */
+/** The tasks and callbacks that carry out the core's effects. */
 type Components = {
   state: core.EntryState;
   logger: bunyan;
@@ -45,7 +45,7 @@
 
 const LIFE_BYTES = 6;
 
-/** Names the task that carries out each effect. */
+/** Builds the handler of each effect. */
 function buildEffectHandlers(components: Components): EffectHandlers {
   const { state, logger, metrics, links, callers } = components;
   return {
@@ -57,7 +57,8 @@
     answerEnd: callers.applyEffect,
     answerFailure: callers.applyEffect,
     documentReceived: (effect) => components.receiveDocument(effect.json),
-    // The core has ended every request; the last bytes may still be on their strategy.
+    // The core has ended every request, but the last bytes may not have been sent
+    // yet.
     stopped: () =>
       callers.notifyIdle(() => {
         logger.info({ event: 'stopped' }, 'stopped');
@@ -71,7 +72,10 @@
   };
 }
 
-/** Creates the state of a new life of this entry. */
+/**
+ * Creates the state of a new incarnation of this entry; in code and logs, an
+ * incarnation is a life.
+ */
 function createState(settings: schema.EntrySettings): core.EntryState {
   const { entryId, failureDomain, services } = settings;
   const linksPerService = settings.linksPerService || core.computeLinksPerService(services.length);
@@ -80,7 +84,7 @@
   return core.createEntryState({ entryId, life, failureDomain, linksPerService }, policy);
 }
 
-/** Starts the tasks that read what the platform publishes. */
+/** Starts the tasks that read documents and the VM list from the platform. */
 function startReaders(readers: ReaderOptions): { stop: () => void }[] {
   const { settings, state, logger, receiveDocument, task } = readers;
   const watches = settings.services.map((service) =>
@@ -137,7 +141,7 @@
   });
 }
 
-/** Starts an entry. `stopped` is called once after a graceful shutdown. */
+/** Starts an entry. `stopped` is called once, after a graceful shutdown. */
 export async function startEntry(
   given: schema.EntrySettings,
   stopped: () => void,
--- a/packages/entry/src/caller-authorization.test.ts
+++ b/packages/entry/src/caller-authorization.test.ts
@@ -6,7 +6,7 @@
 
 const { ResultCode } = schema;
 
-/** Builds the documents in force: one token each, and a limit on bodies. */
+/** Builds documents with two tokens each, one of them shared, and a limit on bodies. */
 function buildDocuments(limits: Record<string, number>): core.DocumentStore {
   const documents: core.DocumentStore = new Map();
   Object.entries(limits).forEach(([service, maxBodyBytes]) => {
@@ -24,7 +24,7 @@
   return documents;
 }
 
-nodeTest.test('rights: limit of the service, or the greatest of the token', () => {
+nodeTest.test('authorization: limit of the service, or the greatest of the token', () => {
   const documents = buildDocuments({ a: 10, b: 20 });
   const find = (service: string | undefined, token: string) =>
     callerAuthorization.checkAuthorization(documents, ['a', 'b'], service, token);
@@ -37,9 +37,9 @@
   assert.equal(callerAuthorization.findWorkspace(documents, 'b', 'a'), '');
 });
 
-nodeTest.test('rights: a document that is still to come', () => {
-  // A newly started entry knows no token yet. Its callers are told to come
-  // back, not that their token is wrong.
+nodeTest.test('authorization: a document that has not arrived yet', () => {
+  // A newly started entry knows no token yet. Its callers must be asked to retry,
+  // not told that their token is invalid.
   const documents = buildDocuments({ a: 10 });
   const find = (service: string | undefined, token: string) =>
     callerAuthorization.checkAuthorization(documents, ['a', 'b'], service, token);
--- a/packages/entry/src/caller-authorization.ts
+++ b/packages/entry/src/caller-authorization.ts
@@ -1,11 +1,11 @@
-/** What the documents in force grant a caller before its body is read. */
+/** Authorizes a caller by the active documents before its body is read. */
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
 
 export type CallerAuthorization =
   { kind: 'granted'; maxBodyBytes: number } | { kind: 'refused'; code: schema.ResultCode };
 
-/** Finds the credential of a token in one document. */
+/** Returns the credential of a token in one document. */
 function findCredential(
   document: schema.ServiceDocument | undefined,
   tokenSha256: string,
@@ -13,7 +13,7 @@
   return document && core.getDocumentIndex(document).credentialByToken.get(tokenSha256);
 }
 
-/** Finds the workspace of a token; empty where the service does not know it. */
+/** Returns the workspace of a token; empty if the service does not know the token. */
 export function findWorkspace(
   documents: core.DocumentStore,
   service: string,
@@ -22,7 +22,7 @@
   return findCredential(documents.get(service)?.document, tokenSha256)?.workspace ?? '';
 }
 
-/** Refuses a caller whose service, or any service, is not known yet. */
+/** Rejects a caller whose token no known document grants. */
 function rejectUnknown(
   documents: core.DocumentStore,
   services: readonly string[],
@@ -31,8 +31,8 @@
   const wanted = service === undefined ? services : services.filter((one) => one === service);
   const awaitsDocument = wanted.some((one) => !documents.has(one));
   if (awaitsDocument) {
-    // A newly started entry has read no document yet. "Unknown service" would
-    // tell callers to give up; this tells them to come back.
+    // A newly started entry has no document yet. "Unknown service" would make callers
+    // give up, while this code asks them to retry.
     return { kind: 'refused', code: schema.ResultCode.NO_BACKEND_SERVER };
   }
   const isKnown = service === undefined || documents.has(service);
@@ -41,11 +41,11 @@
 }
 
 /**
- * Finds what a caller may send.
+ * Checks whether a caller may send a request, and returns the limit on its body.
  *
- * @param services the services of this entry's settings
- * @param service undefined where only the body names it; the greatest limit of
- *   the token's services holds then
+ * @param services the services in this entry's settings
+ * @param service undefined if only the body names it; the greatest limit among
+ *   the token's services applies then
  */
 export function checkAuthorization(
   documents: core.DocumentStore,
--- a/packages/entry/src/caller-bytes.test.ts
+++ b/packages/entry/src/caller-bytes.test.ts
@@ -10,7 +10,7 @@
 const RUNS = 300;
 const GOOD = 'GET /services/ledgerhat/x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n';
 
-/** Pieces of requests, right and wrong ones. */
+/** Fragments of requests, valid and invalid ones. */
 const PIECES = [
   'POST /services/ledgerhat/x HTTP/1.1\r\n',
   'POST /v1/chat/completions HTTP/1.0\r\n',
@@ -36,7 +36,7 @@
   DESTROY = 'destroy',
 }
 
-/** Starts a server whose core answers nothing. */
+/** Starts a server whose core never responds. */
 function startServer(): Promise<callerServer.CallerServer> {
   const documents: core.DocumentStore = new Map();
   const document = schema.create(schema.ServiceDocumentSchema, { service: 'ledgerhat' });
@@ -48,7 +48,7 @@
   return callerServer.startCallerServer({ ...base, limits, context });
 }
 
-/** Leaves in one of the ways that callers do. */
+/** Closes a connection in one of the ways in which callers do. */
 function closeSocket(socket: net.Socket, disconnect: Disconnect): void {
   switch (disconnect) {
     case Disconnect.RESET:
@@ -62,7 +62,7 @@
   }
 }
 
-/** Sends bytes, leaves, and resolves once the connection has closed. */
+/** Sends bytes, disconnects, and resolves once the connection has closed. */
 function sendAndDisconnect(port: number, bytes: string, disconnect: Disconnect): Promise<string> {
   return new Promise((resolve) => {
     let text = '';
@@ -77,7 +77,7 @@
   });
 }
 
-nodeTest.test('any bytes and any disconnect: the entry goes on', async (context) => {
+nodeTest.test('arbitrary bytes and disconnects do not stop the entry', async (context) => {
   const server = await startServer();
   context.after(() => server.stop());
   const pieces = fastCheck.array(
--- a/packages/entry/src/caller-response.ts
+++ b/packages/entry/src/caller-response.ts
@@ -1,4 +1,4 @@
-/** Writes answers to callers' connections. */
+/** Writes responses to callers' connections. */
 import * as http from 'node:http';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
@@ -11,20 +11,20 @@
 type EffectOf<K extends CallerEffect['kind']> = Extract<CallerEffect, { kind: K }>;
 
 export enum ExchangePhase {
-  /** Its body is still coming. */
+  /** The body is still being received. */
   READING = 'reading',
-  /** The core decides on it, or its answer is on the strategy. */
+  /** The core has the request, or its response is being sent. */
   HELD = 'held',
 }
 
-/** One request of a caller with the answer to it. */
+/** A request of a caller and its response. */
 export type Exchange = {
   callerId: number;
   request: http.IncomingMessage;
   response: http.ServerResponse;
   phase: ExchangePhase;
   streamed: boolean;
-  /** The result follows the body as a trailer. */
+  /** The result code follows the body as a trailer. */
   sendsTrailer: boolean;
   writtenBytes: number;
   stallTimer: NodeJS.Timeout | undefined;
@@ -33,7 +33,7 @@
 export type ResponseLimits = {
   maxAnswerBufferBytes: number;
   readTimeoutMs: number;
-  /** Told of a caller that was given up because it does not read. */
+  /** Called when a response was aborted because its caller does not read it. */
   reportSlowCaller: (callerId: number, unreadBytes: number) => void;
 };
 
@@ -42,7 +42,7 @@
 const BODILESS_STATUSES = new Set([204, 304]);
 const COMPLETED = String(schema.ResultCode.COMPLETED);
 
-/** Builds the record of a request that has begun to arrive. */
+/** Creates the record of a request that has begun to arrive. */
 export function makeExchange(
   callerId: number,
   request: http.IncomingMessage,
@@ -53,12 +53,12 @@
   return { ...base, streamed: false, sendsTrailer: false, writtenBytes: 0, stallTimer: undefined };
 }
 
-/** Computes the bytes that have left this process for the caller. */
+/** Computes how many bytes of the response have left this process. */
 function computeSentBytes(exchange: Exchange): number {
   return exchange.writtenBytes - exchange.response.writableLength;
 }
 
-/** Gives a caller up that does not read. */
+/** Aborts a response whose caller does not read it. */
 function abortResponse(exchange: Exchange, limits: ResponseLimits): void {
   const { callerId, response } = exchange;
   limits.reportSlowCaller(callerId, response.writableLength);
@@ -66,10 +66,10 @@
 }
 
 /**
- * Ends an answer that its caller has stopped reading.
+ * Aborts a response that its caller has stopped reading.
  *
- * The bytes it does not read stay in this process. A caller that opens many
- * streams and reads none would otherwise take all its memory.
+ * Unread bytes stay in this process. A caller that opens many streams and reads
+ * none of them would otherwise use up all its memory.
  */
 function watchReading(exchange: Exchange, limits: ResponseLimits): void {
   const { response } = exchange;
@@ -88,10 +88,10 @@
 }
 
 /**
- * Tells whether the result may follow the body as a trailer.
+ * Whether the result code may follow the body as a trailer.
  *
- * Node.js throws where a trailer is announced for an answer without chunks: to
- * a caller of HTTP/1.0, or an answer without a body.
+ * Node.js throws if a trailer is announced for a response that is not chunked,
+ * that is, one over HTTP/1.0 or one without a body.
  */
 function hasTrailer(exchange: Exchange, status: number): boolean {
   const { request, streamed } = exchange;
@@ -99,7 +99,7 @@
   return streamed && hasBody && request.httpVersion === '1.1';
 }
 
-/** Sends the head; the result of a streamed answer is known at its end only. */
+/** Sends the response head. The result code of a streamed response is known only at its end. */
 function sendHead(exchange: Exchange, effect: EffectOf<'answerHead'>): void {
   const { status, contentType, requestId } = effect;
   exchange.streamed = contentType.startsWith(EVENT_STREAM);
@@ -110,7 +110,7 @@
   exchange.response.writeHead(status, headers);
 }
 
-/** Sends one part of an answer. */
+/** Sends one part of a response. */
 function sendData(exchange: Exchange, data: Uint8Array, limits: ResponseLimits): void {
   const { response } = exchange;
   exchange.writtenBytes += data.length;
@@ -122,7 +122,7 @@
   watchReading(exchange, limits);
 }
 
-/** Sends the end of a whole answer. */
+/** Sends the end of a complete response. */
 function sendEnd(exchange: Exchange, limits: ResponseLimits): void {
   const { response } = exchange;
   if (exchange.sendsTrailer) {
@@ -132,18 +132,21 @@
   watchReading(exchange, limits);
 }
 
-/** Ends a started answer with an error event and never with the normal end mark. */
+/**
+ * Aborts a response that has begun: a stream gets an error event, and the normal
+ * end is never sent.
+ */
 function abortWithError(exchange: Exchange, body: string, limits: ResponseLimits): void {
   const { response, streamed } = exchange;
   const event = streamed ? `event: error\ndata: ${body}\n\n` : '';
-  // Destroyed rather than ended: the missing last chunk tells a client that
-  // the answer is not whole even where it ignores the event. Only once the
-  // event has left, because destroying throws away what is buffered.
+  // The socket is destroyed rather than ended: the missing last chunk tells a
+  // client that the response is truncated, even if it ignores the event. This waits
+  // until the event has been sent, because destroying discards buffered data.
   response.write(event, () => response.destroy());
   watchReading(exchange, limits);
 }
 
-/** Sends a failure, before or after the answer began. */
+/** Sends a failure, whether or not the response has begun. */
 export function sendFailure(
   exchange: Exchange,
   failure: failureResponse.Failure,
--- a/packages/entry/src/caller-server.test.ts
+++ b/packages/entry/src/caller-server.test.ts
@@ -61,7 +61,7 @@
   return { server, refusals, slowCallers, waitForRequest };
 }
 
-/** Sends bytes and collects what comes until the connection closes or matches. */
+/** Sends bytes, and collects what is received until the connection closes or a pattern matches. */
 function sendBytes(context: nodeTest.TestContext, port: number, bytes: string) {
   const socket = net.connect(port, '127.0.0.1', () => socket.write(bytes));
   context.after(() => socket.destroy());
@@ -80,7 +80,7 @@
   return { socket, read };
 }
 
-nodeTest.test('connections beyond the limit are told so', async (context) => {
+nodeTest.test('connections beyond the limit get a response', async (context) => {
   const { server, refusals } = await startServer(context);
   const open = await Promise.all(
     [1, 2].map(
@@ -94,7 +94,7 @@
   const bytes = `${HEAD}content-length: 1\r\n\r\nx`;
   const third = sendBytes(context, server.port, bytes);
   assert.match(await third.read(/never/), /^HTTP\/1.1 503 [^]*"code":207/);
-  // The two within the limit are still served.
+  // The two connections within the limit are still served.
   open[0].write(`${HEAD}content-length: 101\r\n\r\n`);
   const answer = await new Promise((resolve) => {
     open[0].once('data', (data) => resolve(String(data)));
@@ -113,8 +113,8 @@
 });
 
 nodeTest.test('a stream that its caller does not read is bounded', async (context) => {
-  // The engine streams faster than the caller reads. What waits in this
-  // process stays within the limit; then the caller loses its connection.
+  // The engine streams faster than the caller reads. The data buffered in this
+  // process must stay within the limit; then the connection is closed.
   const { server, slowCallers, waitForRequest } = await startServer(context);
   const arrival = waitForRequest();
   const client = sendBytes(context, server.port, `${HEAD}content-length: 1\r\n\r\nx`);
@@ -128,7 +128,7 @@
   assert.deepEqual(slowCallers, [callerId]);
 });
 
-nodeTest.test('HTTP/1.0 gets a stream without trailer', async (context) => {
+nodeTest.test('HTTP/1.0 gets a stream without a trailer', async (context) => {
   const { server, waitForRequest } = await startServer(context);
   const arrival = waitForRequest();
   const head = HEAD.replace('HTTP/1.1', 'HTTP/1.0');
@@ -141,49 +141,61 @@
   assert.match(await client.read(/never/), /\r\n\r\ndata: \[DONE\]\n\n$/);
 });
 
-nodeTest.test('an answer that HTTP cannot carry ends its own connection', async (context) => {
-  const { server, waitForRequest } = await startServer(context);
-  const arrival = waitForRequest();
-  const options = { port: server.port, path: `/services/${SERVICE}/x`, agent: false };
-  const headers = { authorization: 'Bearer test' };
-  const call = http.get({ ...options, headers });
-  const failed = new Promise((resolve) => {
-    call.once('error', resolve);
-  });
-  const { callerId } = await arrival;
-  const contentType = 'a\nb';
-  server.applyEffect({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
-  assert.match(String(await failed), /socket hang up/);
-});
-
-nodeTest.test('shutdown: every answer on a connection, then it closes', async (context) => {
-  // Two requests are in hand on one connection when the entry stops listening.
-  // Closing after the first answer would lose the second.
-  const { server, waitForRequest } = await startServer(context);
-  const arrivals = [waitForRequest(), waitForRequest()];
-  const one = `${HEAD}content-length: 1\r\n\r\nx`;
-  const client = sendBytes(context, server.port, `${one}${one}`);
-  const requests = await Promise.all(arrivals);
-  server.stopListening();
-  const idle = new Promise<void>((resolve) => {
-    server.notifyIdle(resolve);
-  });
-  const contentType = 'text/plain';
-  requests.forEach(({ callerId }) => {
+nodeTest.test(
+  'a response that HTTP cannot carry closes only its own connection',
+  async (context) => {
+    const { server, waitForRequest } = await startServer(context);
+    const arrival = waitForRequest();
+    const options = { port: server.port, path: `/services/${SERVICE}/x`, agent: false };
+    const headers = { authorization: 'Bearer test' };
+    const call = http.get({ ...options, headers });
+    const failed = new Promise((resolve) => {
+      call.once('error', resolve);
+    });
+    const { callerId } = await arrival;
+    const contentType = 'a\nb';
     server.applyEffect({ kind: 'answerHead', callerId, requestId: 'r', status: 200, contentType });
-    server.applyEffect({ kind: 'answerData', callerId, data: Buffer.from(`answer-${callerId}`) });
-    server.applyEffect({ kind: 'answerEnd', callerId });
-  });
-  const text = await client.read(/never/);
-  assert.match(text, /answer-1[^]*connection: close[^]*answer-2/i);
-  assert.doesNotMatch(text, /connection: close[^]*answer-1/i);
-  await idle;
-});
+    assert.match(String(await failed), /socket hang up/);
+  },
+);
+
+nodeTest.test(
+  'shutdown: every response on a connection is sent, then it closes',
+  async (context) => {
+    // Two requests of one connection are in flight when the entry stops listening.
+    // Closing the connection after the first response would lose the second.
+    const { server, waitForRequest } = await startServer(context);
+    const arrivals = [waitForRequest(), waitForRequest()];
+    const one = `${HEAD}content-length: 1\r\n\r\nx`;
+    const client = sendBytes(context, server.port, `${one}${one}`);
+    const requests = await Promise.all(arrivals);
+    server.stopListening();
+    const idle = new Promise<void>((resolve) => {
+      server.notifyIdle(resolve);
+    });
+    const contentType = 'text/plain';
+    requests.forEach(({ callerId }) => {
+      server.applyEffect({
+        kind: 'answerHead',
+        callerId,
+        requestId: 'r',
+        status: 200,
+        contentType,
+      });
+      server.applyEffect({ kind: 'answerData', callerId, data: Buffer.from(`answer-${callerId}`) });
+      server.applyEffect({ kind: 'answerEnd', callerId });
+    });
+    const text = await client.read(/never/);
+    assert.match(text, /answer-1[^]*connection: close[^]*answer-2/i);
+    assert.doesNotMatch(text, /connection: close[^]*answer-1/i);
+    await idle;
+  },
+);
 
-nodeTest.test('a tunnel that is reset ends its own connection', async (context) => {
-  // Node.js hands the connection of CONNECT over without any listener. A reset
-  // while the refusal is written would be an error that noAgent takes, and the
-  // process would end.
+nodeTest.test('a reset CONNECT request does not end the process', async (context) => {
+  // Node.js passes on the socket of a CONNECT request without any listener. A reset
+  // while the refusal is written would raise an unhandled error and end the
+  // process.
   const { server, waitForRequest } = await startServer(context);
   const resets = Array.from(
     { length: 20 },
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -11,9 +11,9 @@
 export type CallerServer = {
   port: number;
   applyEffect: (effect: callerResponse.CallerEffect) => void;
-  /** Takes no new connection and ends idle ones. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening: () => void;
-  /** Calls once every answer has left. */
+  /** Calls `idle` once every response has been sent. */
   notifyIdle: (idle: () => void) => void;
   stop: () => void;
 };
@@ -24,7 +24,7 @@
   limits: schema.EffectiveCallerLimits & callerResponse.ResponseLimits;
   context: requestReader.ReaderContext;
   post: (event: core.EntryEvent) => void;
-  /** Told of requests that are refused before the core sees them. */
+  /** Called for requests that are refused before the core gets them. */
   reportRefusal: (code: schema.ResultCode) => void;
 };
 
@@ -40,14 +40,17 @@
   onIdle: (() => void) | undefined;
 };
 
-/** How often slow requests are looked for, milliseconds. */
+/** Maximum interval between checks for slow requests, milliseconds. */
 const MAX_TIMEOUT_CHECK_MS = 1000;
-/** Connections beyond the limit that are still told so, rather than dropped. */
+/**
+ * Number of connections beyond the limit that get a response saying so before any
+ * further ones are dropped.
+ */
 const REJECTED_CONNECTIONS = 64;
 
 const { ExchangePhase } = callerResponse;
 
-/** Refuses a request that the core has not seen. */
+/** Refuses a request that the core has not received. */
 function refuse(
   state: ServerState,
   exchange: callerResponse.Exchange,
@@ -62,7 +65,7 @@
   callerResponse.sendFailure(exchange, failure, state.options.limits);
 }
 
-/** Forgets a request whose answer has left or whose caller has gone. */
+/** Removes a request whose response has been sent or whose caller has disconnected. */
 function closeExchange(state: ServerState, exchange: callerResponse.Exchange): void {
   const { callerId, request } = exchange;
   clearTimeout(exchange.stallTimer);
@@ -74,7 +77,7 @@
   }
 }
 
-/** Opens the record of a request. */
+/** Creates and registers the record of a request. */
 function openExchange(
   state: ServerState,
   request: http.IncomingMessage,
@@ -91,7 +94,10 @@
   return exchange;
 }
 
-/** Finds the limit on connections that a new request breaks. */
+/**
+ * Returns the code of the connection limit that a new request exceeds; undefined
+ * if there is none.
+ */
 function findRefusal(
   state: ServerState,
   exchange: callerResponse.Exchange,
@@ -106,7 +112,7 @@
   return tooMany ? schema.ResultCode.QUEUE_FULL : undefined;
 }
 
-/** Reads one request and hands it to the core, or refuses it. */
+/** Reads one request and passes it to the core, or refuses it. */
 async function handleRequest(
   state: ServerState,
   request: http.IncomingMessage,
@@ -141,17 +147,17 @@
   post({ kind: 'requestArrived', request: read.request });
 }
 
-/** Refuses on a connection on which no request could be read. */
+/** Writes a refusal to a connection on which no request could be read. */
 function writeRefusal(socket: net.Socket, code: schema.ResultCode): void {
   const answer = failureResponse.buildFailureResponse(failureResponse.buildRefusal(code));
   runtime.writeErrorResponse(socket, answer);
 }
 
 /**
- * Answers a connection on which the parser gave up or the time ran out.
+ * Responds on a connection on which parsing failed or a timeout expired.
  *
- * Answers to earlier requests of the connection leave first: written over them,
- * the refusal would end up in the middle of another answer.
+ * Responses to earlier requests of the connection are sent first. Otherwise the
+ * refusal would end up in the middle of another response.
  */
 function handleClientError(state: ServerState, error: Error, socket: net.Socket): void {
   const code = runtime.toResultCode(error);
@@ -206,7 +212,7 @@
   return server;
 }
 
-/** Counts a connection, and marks it where it is one too many. */
+/** Counts a connection, and marks it if it exceeds the limit. */
 function openConnection(state: ServerState, socket: net.Socket): void {
   state.connections.add(socket);
   socket.on('close', () => state.connections.delete(socket));
@@ -215,7 +221,7 @@
   }
 }
 
-/** Carries out one effect on a caller that is still there. */
+/** Carries out one effect if the caller is still connected. */
 function applyCallerEffect(state: ServerState, effect: callerResponse.CallerEffect): void {
   const exchange = state.exchanges.get(effect.callerId);
   if (exchange === undefined || exchange.response.destroyed) {
@@ -224,17 +230,17 @@
   try {
     callerResponse.applyEffect(exchange, effect, state.options.limits);
   } catch {
-    // An answer that HTTP cannot carry ends its own connection. Thrown further,
-    // it would stop the task that serves every other caller.
+    // A response that HTTP cannot carry closes only its own connection. If the error
+    // propagated, it would stop the task that serves all other callers.
     exchange.response.destroy();
   }
 }
 
 /**
- * Asks for each connection to be closed after the last answer in hand on it.
+ * Asks for each connection to be closed after its last response in flight.
  *
- * The last one only: a connection closes after the first answer that says so,
- * and answers behind it would be lost.
+ * Only the last response may carry the header, because the connection closes
+ * after the first one that does, and later responses would be lost.
  */
 function closeAfterResponses(state: ServerState): void {
   const exchanges = [...state.exchanges.values()];
@@ -246,7 +252,7 @@
   });
 }
 
-/** Starts to listen. */
+/** Starts to listen for callers. */
 export async function startCallerServer(options: CallerServerOptions): Promise<CallerServer> {
   const state: ServerState = {
     options,
--- a/packages/entry/src/failure-response.ts
+++ b/packages/entry/src/failure-response.ts
@@ -1,8 +1,8 @@
-/** The answer a caller gets when its request did not complete. */
+/** Builds the response for a request that did not complete. */
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
 
-/** What a failure says, whoever decided on it. */
+/** A failure, whether decided by the core or before it. */
 export type Failure = Pick<
   Extract<core.EntryEffect, { kind: 'answerFailure' }>,
   'requestId' | 'code' | 'runState' | 'retryAfterMs'
@@ -18,9 +18,12 @@
 };
 
 const MS_PER_SECOND = 1000;
-/** Told where the core names no time of its own. */
+/**
+ * Retry-after for failures that are safe to retry, if the core gave a smaller one
+ * or none, milliseconds.
+ */
 const MIN_RETRY_AFTER_MS = 1000;
-/** Codes from 201 to 299 are about capacity and membership. */
+/** Codes 201 to 299 are about capacity and membership. */
 const CAPACITY_CODE_GROUP = 2;
 const CODE_GROUP_SIZE = 100;
 
@@ -30,12 +33,12 @@
   body: string;
 };
 
-/** Builds the failure of a request that was refused before the core saw it. */
+/** Builds the failure of a request that was refused before it reached the core. */
 export function buildRefusal(code: schema.ResultCode): Failure {
   return { requestId: '', code, runState: schema.RunState.NOT_RUN, retryAfterMs: 0 };
 }
 
-/** Tells whether the same request may succeed later without doing anything twice. */
+/** Whether the same request may succeed later without anything being run twice. */
 function isSafeToRetry(failure: Failure): boolean {
   const ofCapacity = Math.floor(failure.code / CODE_GROUP_SIZE) === CAPACITY_CODE_GROUP;
   return ofCapacity && failure.runState === schema.RunState.NOT_RUN;
@@ -49,15 +52,15 @@
   return {
     'content-type': 'application/json',
     'x-toucanproxy-result': String(code),
-    // OpenAI-style clients send again by themselves after most statuses, with
-    // no key. This stops them where the request may have been run already.
+    // OpenAI-style clients retry on their own after most statuses, without a key.
+    // This stops them if the request may have run already.
     'x-should-retry': String(retriable),
     ...(requestId === '' ? {} : { 'x-request-id': requestId }),
     ...(waitMs === 0 ? {} : { 'retry-after': String(Math.ceil(waitMs / MS_PER_SECOND)) }),
   };
 }
 
-/** Builds the answer; its shape is the one that OpenAI-style clients know. */
+/** Builds the response in the format that OpenAI-style clients expect. */
 export function buildFailureResponse(failure: Failure): FailureResponse {
   const { code, requestId } = failure;
   const name = ResultCode[code].toLowerCase();
--- a/packages/entry/src/gauges.ts
+++ b/packages/entry/src/gauges.ts
@@ -1,9 +1,9 @@
-/** Present values of an entry for its metrics. */
+/** Gauges of an entry's metrics. */
 import * as core from '@toucanproxy/core';
 import type * as runtime from '@toucanproxy/runtime';
 import * as status from './status.js';
 
-/** Lists the documents in force. */
+/** Lists the versions of the active documents. */
 function listVersions(state: core.EntryState): runtime.MetricSample[] {
   return [...state.documents].map(([service, stored]) => ({
     name: 'document_version',
@@ -12,7 +12,7 @@
   }));
 }
 
-/** Lists requests in hand by tier. */
+/** Lists the numbers of held requests by tier. */
 function listHeldRequests(state: core.EntryState): runtime.MetricSample[] {
   return status.countByTier(state).flatMap(({ service, tier, waiting, offered }) => [
     { name: 'requests_held', labels: { service, tier, status: 'waiting' }, value: waiting },
@@ -20,7 +20,7 @@
   ]);
 }
 
-/** Lists how many backend servers are in each state. */
+/** Lists the numbers of backend servers in each state. */
 function listServers(state: core.EntryState, now: number): runtime.MetricSample[] {
   const views = [...state.agents.values()];
   return [...state.documents.keys()].flatMap((service) => {
@@ -38,7 +38,7 @@
 /**
  * Lists every gauge of an entry.
  *
- * @param now present time, milliseconds since the Unix epoch
+ * @param now current time, milliseconds since the Unix epoch
  */
 export function listGauges(state: core.EntryState, now: number): runtime.MetricSample[] {
   const suspects = { name: 'suspects', labels: {}, value: state.suspects.byDigest.size };
--- a/packages/entry/src/prefix-hashes.test.ts
+++ b/packages/entry/src/prefix-hashes.test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test';
 import * as prefixHashes from './prefix-hashes.js';
 
-nodeTest.test('prompts share the hashes of the pieces they share', () => {
+nodeTest.test('prompts share the hashes of their common prefixes', () => {
   const common = 'x'.repeat(3000);
   const one = prefixHashes.hashPromptPrefixes({ prompt: `${common}${'a'.repeat(3000)}` });
   const two = prefixHashes.hashPromptPrefixes({ prompt: `${common}${'b'.repeat(3000)}` });
--- a/packages/entry/src/prefix-hashes.ts
+++ b/packages/entry/src/prefix-hashes.ts
@@ -1,15 +1,15 @@
-/** Hashes the leading pieces of a prompt, so that its prefix is found again. */
+/** Hashes prefixes of a prompt, so that requests with a common prefix can be recognized. */
 import * as core from '@toucanproxy/core';
 
-/** Rough length of a token in characters of text. */
+/** Approximate length of a token, characters of text. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Pieces double in length; this many reach half a million tokens. */
+/** Each prefix is twice as long as the one before; this many reach half a million tokens. */
 const MAX_PREFIXES = 12;
 
-/** What a model request holds its prompt in. */
+/** The fields of a model request that contain its prompt. */
 export type PromptBody = { messages?: unknown; prompt?: unknown };
 
-/** Hashes leading pieces, the shortest first, each twice as long as the one before. */
+/** Hashes the prefixes of a text, the shortest first, each twice as long as the one before. */
 export function hashPrefixes(text: string): number[] {
   const lengths = Array.from(
     { length: MAX_PREFIXES },
@@ -20,7 +20,10 @@
     .map((length) => core.hashText(text.slice(0, length)));
 }
 
-/** Hashes the prefixes of a model request; other fields may vary in front of it. */
+/**
+ * Hashes the prefixes of a model request's prompt alone, because other fields may
+ * vary and precede it.
+ */
 export function hashPromptPrefixes(body: PromptBody | undefined): number[] {
   const prompt = body?.messages ?? body?.prompt;
   return prompt === undefined ? [] : hashPrefixes(JSON.stringify(prompt));
