--- a/packages/entry/src/request-body.ts
+++ b/packages/entry/src/request-body.ts
@@ -1,27 +1,27 @@
-/** Reads bodies within their limits. */
+/** Reads request bodies within their limits. */
 import * as http from 'node:http';
 import * as schema from '@toucanproxy/schema';
 
 export type BodyRead =
   { kind: 'read'; payload: Buffer } | { kind: 'faulty'; code: schema.ResultCode };
 
-/** Bytes of bodies that are being read, over all callers of an entry. */
+/** Bytes of the bodies that are being read, over all callers of an entry. */
 export type BodyBudget = { usedBytes: number };
 
-/** Bound on the sum over all callers, bytes. */
+/** Limit on the bytes of all bodies that are being read. */
 const MAX_BUFFERED_BYTES = 512 * 1024 * 1024;
 
-/** Tells whether the header alone says that a body is too long. */
+/** Whether the content-length header alone shows that a body is too long. */
 export function isDeclaredTooLarge(request: http.IncomingMessage, maxBytes: number): boolean {
   return Number(request.headers['content-length'] ?? 0) > maxBytes;
 }
 
 /**
- * Reads a body; resolves once, also where the caller leaves midway.
+ * Reads a body; resolves once, even if the caller disconnects early.
  *
- * A body that grows beyond its limit is refused at that moment. What still
- * comes is read and thrown away: closing at once would reset the connection,
- * and the caller would lose the answer that says why.
+ * A body is refused as soon as it exceeds its limit. The rest of it is read and
+ * discarded: closing immediately would reset the connection, and the caller would
+ * lose the response that gives the reason.
  */
 export function readBody(
   request: http.IncomingMessage,
--- a/packages/entry/src/request-cost.ts
+++ b/packages/entry/src/request-cost.ts
@@ -1,16 +1,16 @@
-/** Estimates what a request costs before it runs. */
+/** Estimates the cost of a request before it runs. */
 
-/** Rough length of a token in bytes of JSON text. */
+/** Approximate length of a token, bytes of JSON text. */
 const BYTES_PER_TOKEN = 4;
-/** Answer length assumed where the caller gives no bound, tokens. */
+/** Response length assumed if the caller gives no limit, tokens. */
 const DEFAULT_RESPONSE_TOKENS = 256;
 
-/** Reads the caller's bound on its answer, tokens; 0 where it gives none. */
+/** Parses the caller's limit on the response length, tokens; 0 if it gives none. */
 export function parseMaxTokens(maxTokens: unknown): number {
   return typeof maxTokens === 'number' && maxTokens > 0 ? maxTokens : 0;
 }
 
-/** Estimates tokens of prompt and answer. */
+/** Estimates the tokens of prompt and response together. */
 export function estimateTokens(payloadBytes: number, maxTokens: unknown): number {
   const answer = parseMaxTokens(maxTokens) || DEFAULT_RESPONSE_TOKENS;
   return Math.ceil(payloadBytes / BYTES_PER_TOKEN) + answer;
--- a/packages/entry/src/request-reader.ts
+++ b/packages/entry/src/request-reader.ts
@@ -1,4 +1,4 @@
-/** Reads callers' requests into the form the core decides on. */
+/** Parses callers' requests into the form that the core handles. */
 import * as crypto from 'node:crypto';
 import * as http from 'node:http';
 import * as core from '@toucanproxy/core';
@@ -10,7 +10,7 @@
 import * as requestBody from './request-body.js';
 import * as requestCost from './request-cost.js';
 
-/** What reading needs to know of this entry. */
+/** The parts of this entry's state and settings that parsing depends on. */
 export type ReaderContext = {
   documents: core.DocumentStore;
   services: readonly string[];
@@ -22,7 +22,7 @@
 type Read = { kind: 'read'; request: core.ArrivedRequest } | Fault;
 type ServicePath = Extract<apiPath.ApiPath, { kind: 'model' | 'service' }>;
 
-/** What the head of a request says. */
+/** The parsed head of a request. */
 export type RequestHead = {
   kind: 'head';
   target: ServicePath;
@@ -35,31 +35,34 @@
 };
 
 const BEARER_PATTERN = /^Bearer (\S+)$/i;
-/** Names of services; any other text is neither looked up nor logged. */
+/** Names of services. Other text is neither looked up nor logged. */
 const SERVICE_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 const KEY_PATTERN = /^[\x21-\x7e]{0,255}$/;
 const TIMEOUT_PATTERN = /^[0-9]{1,9}$/;
 const SERVICE_METHODS = new Set(['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS']);
 const { ResultCode } = schema;
 
-/** Gets one header as text. */
+/** Returns one header as text; empty if it is absent. */
 function getHeader(request: http.IncomingMessage, name: string): string {
   const value = request.headers[name];
   return typeof value === 'string' ? value : '';
 }
 
-/** Builds the fault that a request is refused with. */
+/** Builds the fault with which a request is refused. */
 function refuse(code: schema.ResultCode): Fault {
   return { kind: 'faulty', code };
 }
 
-/** Hashes the bearer token; empty where there is none. */
+/** Hashes the bearer token; empty if there is none. */
 function hashToken(request: http.IncomingMessage): string {
   const match = BEARER_PATTERN.exec(getHeader(request, 'authorization'));
   return match === null ? '' : crypto.createHash('sha256').update(match[1]).digest('hex');
 }
 
-/** Reads the caller's timeout; 0 where it names none, undefined where it is no whole number. */
+/**
+ * Parses the caller's timeout; 0 if there is none, undefined if it is not a
+ * positive whole number.
+ */
 function parseTimeout(text: string): number | undefined {
   if (text === '') {
     return 0;
@@ -68,7 +71,7 @@
   return value > 0 ? value : undefined;
 }
 
-/** Checks that path and method are served here. */
+/** Checks that the path and the method are supported. */
 function parseTarget(request: http.IncomingMessage): ServicePath | Fault {
   const target = apiPath.parseApiPath(request.url ?? '/');
   const method = request.method ?? '';
@@ -84,7 +87,7 @@
   }
 }
 
-/** Reads the head; a request that can be refused by it is not read further. */
+/** Reads the head. A request that its head makes refusable is not read any further. */
 export function readHead(
   request: http.IncomingMessage,
   context: ReaderContext,
@@ -124,7 +127,7 @@
 
 type ModelBody = prefixHashes.PromptBody & { model?: unknown; max_tokens?: unknown };
 
-/** Parses a model request's body; undefined where it is not a JSON object. */
+/** Parses the body of a model request; undefined if it is not a JSON object. */
 function parseModelBody(payload: Buffer): ModelBody | undefined {
   try {
     const body = JSON.parse(payload.toString('utf8')) as unknown;
@@ -134,7 +137,7 @@
   }
 }
 
-/** Reads the body and builds the request that the core decides on. */
+/** Reads the body and builds the request that is passed to the core. */
 export async function readRequest(
   request: http.IncomingMessage,
   head: RequestHead,
--- a/packages/entry/src/result-codes.test.ts
+++ b/packages/entry/src/result-codes.test.ts
@@ -7,7 +7,7 @@
 const RUN_STATES = ['not_run', 'ran', 'may_have_run'];
 const NONE = '-';
 
-/** Reads the rows of the table, without its head. */
+/** Reads the rows of the table, without its header. */
 function readRows(): string[][] {
   const lines = fs.readFileSync(TABLE, 'utf8').split('\n');
   return lines
--- a/packages/entry/src/status.ts
+++ b/packages/entry/src/status.ts
@@ -1,13 +1,13 @@
-/** What the operator port of an entry says of its state. */
+/** Describes the state of an entry for its operator port. */
 import * as core from '@toucanproxy/core';
 
-/** A backend server as this entry sees it. */
+/** The state of a backend server as this entry sees it. */
 export enum ServerState {
   LIVE = 'live',
   LEAVING = 'leaving',
-  /** Slow or failing of late; gets no work for a while. */
+  /** Recently slow or failing; gets no work for a while. */
   EJECTED = 'ejected',
-  /** Ought to be linked and is not: unreachable, silent, or not yet connected. */
+  /** Should be linked and is not: unreachable, timed out or not connected yet. */
   SILENT = 'silent',
   /** Not among the links that this entry keeps. */
   UNLINKED = 'unlinked',
@@ -15,7 +15,7 @@
 
 export type TierCount = { service: string; tier: string; waiting: number; offered: number };
 
-/** Tells the state of one backend server. */
+/** Returns the state of one backend server. */
 export function toServerState(view: core.AgentView, now: number): ServerState {
   if (view.leaving) {
     return ServerState.LEAVING;
@@ -26,7 +26,7 @@
   return view.health.ejectedUntilMs > now ? ServerState.EJECTED : ServerState.LIVE;
 }
 
-/** Counts requests in hand for every tier of every document, the most urgent first. */
+/** Counts the held requests for every tier of every document, the most urgent first. */
 export function countByTier(state: core.EntryState): TierCount[] {
   const requests = [...state.requests.values()];
   return [...state.documents].flatMap(([service, stored]) =>
@@ -59,7 +59,7 @@
 /**
  * Describes an entry for `toucanproxy status`.
  *
- * @param now present time, milliseconds since the Unix epoch
+ * @param now current time, milliseconds since the Unix epoch
  */
 export function describeStatus(state: core.EntryState, now: number): unknown {
   return {
