--- a/packages/core/src/entry/entry-policy.ts
+++ b/packages/core/src/entry/entry-policy.ts
@@ -32,7 +32,7 @@
  * Creates the policy that pushes to the less loaded of two random backend
  * servers, by reported load.
  */
-export function createBetterOfTwoPolicy(drawRandom: () => number): EntryPolicy {
+export function createPowerOfTwoChoicesPolicy(drawRandom: () => number): EntryPolicy {
   return { strategy: { kind: 'push', choose: placement.choosePowerOfTwoChoices }, drawRandom };
 }
 
