--- a/packages/core/src/entry/membership.ts
+++ b/packages/core/src/entry/membership.ts
@@ -1,4 +1,4 @@
-/** Which backend servers this entry knows, which it keeps links to, and which take new work. */
+/** Which backend servers this entry knows, to which it keeps links, and which get new work. */
 import * as schema from '@toucanproxy/schema';
 import * as agentHealth from './agent-health.js';
 import * as entryEvent from './entry-event.js';
@@ -8,8 +8,8 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Makes the view of a backend server that a document names for the first time. */
-function makeView(service: string, server: schema.BackendServer): entryState.AgentView {
+/** Creates the view of a backend server that a document names for the first time. */
+function createView(service: string, server: schema.BackendServer): entryState.AgentView {
   return {
     backendServerId: server.id,
     service,
@@ -24,14 +24,14 @@
     reportedLeaving: false,
     listedLeaving: false,
     listedLife: undefined,
-    lastHeardMs: 0,
+    lastReceivedMs: 0,
     lastSentMs: 0,
     heartbeatsSent: 0,
     load: undefined,
     outstandingTokens: 0,
     nextOpenMs: 0,
     kept: false,
-    neededMs: 0,
+    lastNeededMs: 0,
     heldIds: new Set(),
     reservedIds: new Set(),
     health: agentHealth.createAgentHealth(),
@@ -40,8 +40,8 @@
 }
 
 /**
- * Brings one view in line with a document. An agent that has moved to another
- * address is linked anew: the process at the old one is not it any more.
+ * Updates one view from a document. If the address has changed, the link is
+ * opened anew, because the process at the old address is no longer that agent.
  */
 function applyBackendServer(
   state: entryState.EntryState,
@@ -50,7 +50,7 @@
   now: number,
 ): Effects {
   const known = state.agents.get(server.id);
-  const view = known ?? makeView(service, server);
+  const view = known ?? createView(service, server);
   const moved = view.address !== server.address && (view.linked || view.opening);
   view.address = server.address;
   view.failureDomain = server.failureDomain;
@@ -64,7 +64,7 @@
   return moved ? linkOpening.abandonLink(state, view, now) : [];
 }
 
-/** Brings the views in line with a document that has come into force. */
+/** Updates the views from a document that has become active. */
 export function applyBackendServers(
   state: entryState.EntryState,
   document: schema.ServiceDocument,
@@ -74,7 +74,7 @@
     applyBackendServer(state, document.service, server, now),
   );
   const named = new Set(document.backendServers.map((server) => server.id));
-  const views = listOfService(state, document.service);
+  const views = listServiceAgents(state, document.service);
   views
     .filter((view) => !named.has(view.backendServerId))
     .forEach((view) => {
@@ -82,7 +82,7 @@
       view.kept = false;
       updateLeaving(view);
     });
-  keepLinks(
+  updateKeptLinks(
     state,
     views.filter((view) => named.has(view.backendServerId)),
   );
@@ -90,22 +90,23 @@
 }
 
 /** Lists the views of one service. */
-function listOfService(state: entryState.EntryState, service: string): entryState.AgentView[] {
+function listServiceAgents(state: entryState.EntryState, service: string): entryState.AgentView[] {
   return [...state.agents.values()].filter((view) => view.service === service);
 }
 
-/** Decides from all that is known whether an agent takes new work. */
+/** Combines the three sources that can mark an agent as leaving. */
 export function updateLeaving(view: entryState.AgentView): void {
   view.leaving = view.documentLeaving || view.listedLeaving || view.reportedLeaving;
 }
 
 /**
- * Gives no more work to VMs that the platform lists as leaving.
+ * Withholds new work from VMs that the platform lists as leaving.
  *
- * The list lags: it may still name the life before the present one. A life that
- * began after the list was first seen to name its VM is taken at its own word.
+ * The list lags behind and may still refer to the previous incarnation. For an
+ * incarnation that began after the list first named its VM, only the agent's own
+ * reports count.
  */
-export function markListed(state: entryState.EntryState, addresses: readonly string[]): void {
+export function applyLeavingList(state: entryState.EntryState, addresses: readonly string[]): void {
   const listed = new Set(addresses);
   state.agents.forEach((view) => {
     const isListed = listed.has(view.address);
@@ -120,16 +121,18 @@
 }
 
 /**
- * Marks the links that this entry keeps for a service. One to an agent that
- * leaves is kept until the agent closes it, without counting for the choice.
+ * Marks the links that this entry keeps for a service. A kept link to a leaving
+ * agent stays until the agent closes it, and does not count towards the
+ * selection.
  */
-function keepLinks(state: entryState.EntryState, views: entryState.AgentView[]): void {
+function updateKeptLinks(state: entryState.EntryState, views: entryState.AgentView[]): void {
   const staying = views.filter((view) => !view.documentLeaving);
   const { entryId, failureDomain, linksPerService } = state;
   const chosen = linkSelection.selectLinks(entryId, failureDomain, staying, linksPerService);
   const kept = new Set(chosen);
   views.forEach((view) => {
-    const drains = view.kept && view.documentLeaving && !state.goneSeenMs.has(view.backendServerId);
-    view.kept = drains || kept.has(view.backendServerId);
+    const isDraining =
+      view.kept && view.documentLeaving && !state.goneSeenMs.has(view.backendServerId);
+    view.kept = isDraining || kept.has(view.backendServerId);
   });
 }
