--- a/packages/core/src/gateway/allowed-domains.ts
+++ b/packages/core/src/gateway/allowed-domains.ts
@@ -10,7 +10,7 @@
 import type * as regionBinding from './region-binding.js';
 
 /**
- * Returns whether a request may be served in a failure domain. A request that is restricted to
+ * Returns whether the regions of a request allow a failure domain. A request that is restricted to
  * regions may not use a domain whose region is unknown.
  */
 export function isInRegions(
@@ -22,7 +22,7 @@
   return regions === undefined || (region !== undefined && regions.has(region));
 }
 
-/** Lists the evacuated domains and those of known backend servers outside the request's regions. */
+/** Lists the evacuated domains, and the known servers' domains outside the request's regions. */
 export function listExcluded(
   state: gatewayState.GatewayState,
   regions: regionBinding.RegionBinding,
--- a/packages/core/src/gateway/ask-messages.ts
+++ b/packages/core/src/gateway/ask-messages.ts
@@ -21,16 +21,17 @@
 /**
  * An ask without a reply is sent again after this time, in milliseconds: several times the
  * round trip of a datagram within a region. Otherwise, if the datagram that reports the end of
- * the last request were lost, its slot would stay empty until the scheduler forgets the gateway.
+ * the last request were lost, the slot of that request would stay empty until the scheduler
+ * forgets the gateway.
  */
 const RESEND_MS = 60;
 /**
- * A scheduler that sends no reply for this time is unreachable, in milliseconds. A gateway with a
- * quarter of a core is paused for up to 75 ms of every 100 ms, and one datagram may be lost;
- * callers of the most urgent kinds wait 400 ms.
+ * A scheduler counts as unreachable after this time without a reply, in milliseconds. A gateway
+ * with a quarter of a core is paused for up to 75 ms of every 100 ms, and one datagram may be
+ * lost; callers of the most urgent kinds wait 400 ms.
  */
 const REPLY_TIMEOUT_MS = 200;
-/** Maximum time between asks while requests are waiting or in flight, in milliseconds. */
+/** Maximum time between asks while requests wait, and while some are in flight, in milliseconds. */
 const WAITING_INTERVAL_MS = 100;
 const IN_FLIGHT_INTERVAL_MS = 250;
 /** Maximum number of items of each kind in one ask, so that it fits in 1,400 bytes. */
@@ -118,7 +119,7 @@
   });
 }
 
-/** Takes the requests of a link for which a slot must be asked for now. */
+/** Takes the requests of a link that the next asks must contain, and records the time. */
 function takeUnaccepted(
   state: gatewayState.GatewayState,
   { asks }: schedulerLink.SchedulerLink,
@@ -203,7 +204,7 @@
   );
 }
 
-/** Removes the link of a cell that no longer exists and asks in other cells for its requests. */
+/** Removes the link of a cell that no longer exists, and asks other cells for slots instead. */
 function dropLink(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
--- a/packages/core/src/gateway/ask-receipt.ts
+++ b/packages/core/src/gateway/ask-receipt.ts
@@ -8,9 +8,9 @@
 /**
  * Receives an ask; returns the resulting changes of backend server statements.
  *
- * If a backend server has stated to another gateway that it is leaving, this holds here too
- * until it restarts; otherwise the scheduler would grant slots at it. Statements about an
- * earlier incarnation, from a gateway that has not read of the restart yet, are ignored.
+ * A backend server's statement to another gateway that it is leaving applies here too until the
+ * server restarts; otherwise the scheduler would grant slots there. Statements about an earlier
+ * incarnation, from a gateway that has not read of the restart yet, are ignored.
  */
 export function receiveAsk(
   state: gatewayState.GatewayState,
--- a/packages/core/src/gateway/assignment.test.ts
+++ b/packages/core/src/gateway/assignment.test.ts
@@ -102,8 +102,8 @@
 test('burst of twice the capacity', () => {
   // For ten seconds, requests arrive at twice the capacity of the engines, half of them urgent.
   // The urgent ones are served on time. The others are refused soon after their target of 0.8 s,
-  // as soon as requests of their rank no longer get slots, and not only when their callers
-  // disconnect at 3.2 s.
+  // once requests of their rank no longer get slots, and not only when their callers disconnect
+  // at 3.2 s.
   const routes = [
     buildRoute({ name: 'urgent', prefix: '/a/', urgency: 0 }),
     buildRoute({ name: 'other', prefix: '/b/', urgency: 1 }),
--- a/packages/core/src/gateway/assignment.ts
+++ b/packages/core/src/gateway/assignment.ts
@@ -50,16 +50,16 @@
 };
 
 /**
- * Maximum number of exchanges between this gateway and its own scheduler in one call. A grant
- * that cannot be used is returned, and its slot is granted again. Without the limit, a slot that
- * none of the waiting requests can use would be granted and returned forever.
+ * Maximum number of exchanges between this gateway and its own scheduler in one call of `advance`.
+ * A grant that cannot be used is returned, and its slot is granted again. Without the limit, a
+ * slot that none of the waiting requests can use would be granted and returned forever.
  */
 const MAX_ROUNDS = 4;
-/** Cells that a request asks before it is refused; even the less loaded of two may be full. */
+/** Maximum number of cells asked for one request: the less loaded of the two drawn may be full. */
 const MAX_CELLS_ASKED = 2;
 
 /**
- * Checks a waiting request against the current configuration and the lease on it. While it
+ * Checks a waiting request against the active configuration and the lease on it. While it
  * waited, the configuration may have changed or the process may have been suspended.
  */
 function findRefusal(
@@ -125,7 +125,7 @@
   return [{ kind: 'send', request, server: found.server, scheduler: granted.scheduler }];
 }
 
-/** Asks another cell on behalf of a request that one has declined, or refuses the request. */
+/** Asks another cell for a slot for a request that a cell has declined, or refuses the request. */
 function applyDeclined(
   state: gatewayState.GatewayState,
   declined: Extract<scheduleReplies.ReplyOutcome, { kind: 'declined' }>,
@@ -153,10 +153,10 @@
 ): Assignment[] {
   return scheduleReplies
     .applyReply(state, reply, clocks.steadyMs)
-    .flatMap((answer) =>
-      answer.kind === 'granted'
-        ? applyGranted(state, answer, clocks)
-        : applyDeclined(state, answer, clocks.steadyMs),
+    .flatMap((outcome) =>
+      outcome.kind === 'granted'
+        ? applyGranted(state, outcome, clocks)
+        : applyDeclined(state, outcome, clocks.steadyMs),
     );
 }
 
@@ -208,7 +208,7 @@
   return result;
 }
 
-/** Takes one retry from this gateway's part of the retry budget of a service. */
+/** Takes one retry from this gateway's part of a service's retry budget; false if it is spent. */
 export function takeRetry(state: gatewayState.GatewayState, service: string, now: number): boolean {
   const { retryPercent, retryExtra } = state.bounds;
   const floor = retryExtra / peerView.countGateways(state.peers);
--- a/packages/core/src/gateway/attempt-end.ts
+++ b/packages/core/src/gateway/attempt-end.ts
@@ -33,7 +33,7 @@
   | { kind: 'passFailure' }
   | { kind: 'refuse'; refusal: refusal.Refusal };
 
-/** Maximum number of sends of one request, including those that did not run. */
+/** Maximum number of sends of one request, including those after which it was not run. */
 const MAX_SENDS = 4;
 /** Longest pause in a stream that callers tolerate, milliseconds. */
 const RESUME_TARGET_MS = 400;
@@ -81,8 +81,8 @@
 }
 
 /**
- * Records a broken connection as a possible sign of a crash, and an unreachable backend server as
- * evidence of one.
+ * Records a broken connection as a possible sign of a crash, and counts a crash if the backend
+ * server is unreachable.
  */
 function detectCrash(
   state: gatewayState.GatewayState,
--- a/packages/core/src/gateway/authorization.ts
+++ b/packages/core/src/gateway/authorization.ts
@@ -1,4 +1,4 @@
-/** Authorizes requests under the current configuration. */
+/** Authorizes requests under the active configuration. */
 import * as schema from '@toucanproxy/schema';
 import * as configurationLease from './configuration-lease.js';
 import * as configurationIndex from './configuration-index.js';
--- a/packages/core/src/gateway/backend-servers.test.ts
+++ b/packages/core/src/gateway/backend-servers.test.ts
@@ -60,7 +60,7 @@
   assert.equal(serverEntries.removeEntry(servers, 'a', 1001)?.change, 'gone');
 });
 
-test('restarted under the same id', () => {
+test('server restarted under the same id', () => {
   // A backend server crashed and is back under the same id with a later start time. It must be
   // usable although its previous incarnation was displaced.
   const servers = createWithOne();
@@ -102,9 +102,9 @@
 });
 
 test('snapshot older than an entry received with a grant', () => {
-  // The snapshot was read just before a backend server was added, and a scheduler's grant
-  // brings its entry meanwhile. If it counted as gone, its connections would be closed with
-  // the requests running on them.
+  // The snapshot was read just before a backend server was added, but is applied after a
+  // scheduler's grant has brought the server's entry. If the server counted as gone, its
+  // connections would be closed with the requests running on them.
   const servers = backendServers.createBackendServers();
   serverEntries.applyGrantedEntry(servers, buildEntry('a', { revision: buildRevision(11) }), 0);
   assert.deepEqual(serverEntries.applySnapshot(servers, [], buildRevision(10), 0), []);
--- a/packages/core/src/gateway/backend-servers.ts
+++ b/packages/core/src/gateway/backend-servers.ts
@@ -78,7 +78,7 @@
   servers.missingGraceUntilMs = now + returnMs;
 }
 
-/** Records that another backend server responded at the address of this one. */
+/** Records that another backend server responded at the address of the given one. */
 export function noteDisplaced(
   servers: BackendServers,
   id: string,
@@ -119,8 +119,8 @@
  * Returns whether a backend server may receive new work.
  *
  * The end of the grace period is checked here instead of with the next store response:
- * responses come once a second, so a missing backend server that had left received work for
- * up to a second longer.
+ * responses come once a second, so a missing backend server that has left would receive work
+ * for up to a second longer.
  */
 function isUsable(
   servers: BackendServers,
@@ -137,7 +137,7 @@
   );
 }
 
-/** Finds the entry of a backend server that may receive new work. */
+/** Finds the entry of a backend server if it may receive new work. */
 export function findUsable(
   servers: BackendServers,
   id: string,
--- a/packages/core/src/gateway/cell-map.ts
+++ b/packages/core/src/gateway/cell-map.ts
@@ -6,7 +6,7 @@
 /** The cells of one service. */
 export type ServiceCells = {
   cellNames: string[];
-  /** Cell names by backend server id, including those that are leaving. */
+  /** Cell names by backend server id, including servers that are leaving. */
   cellByServer: Map<string, string>;
   /** Backend servers that may receive new work, by cell name. */
   usableByCell: Map<string, backendServerEntry.BackendServerEntry[]>;
@@ -25,7 +25,7 @@
 };
 
 /**
- * How long the map is used if no store entry changes, in milliseconds. It must be recomputed
+ * How long the map is used if no backend server changes, in milliseconds. It must be recomputed
  * from time to time because missing entries expire by time. Whether a backend server may
  * receive work is checked once more when a request is sent.
  */
@@ -41,8 +41,8 @@
  *
  * Results are cached as long as the number of cells stays the same. A service with thousands
  * of backend servers has dozens of cells, and each backend server is hashed with each cell:
- * recomputing this with every change of a store entry takes all of the processor, and callers
- * wait for seconds.
+ * recomputing this with every change of a store entry would take all processor time, and callers
+ * would wait for seconds.
  */
 function findCells(
   known: CellCache | undefined,
--- a/packages/core/src/gateway/cell-servers.ts
+++ b/packages/core/src/gateway/cell-servers.ts
@@ -11,7 +11,7 @@
 /** Minimum request rate during warm-up: with a limit of 0 a backend server would never be used. */
 const MIN_REQUESTS_PER_SECOND = 1;
 
-/** Computes the request limit of a service's backend servers during warm-up. */
+/** Computes the request limit of each backend server of a service during its warm-up. */
 function computeWarmUpLimit(
   traits: configuration.WarmUpTraits | undefined,
   { factor, extra }: gatewayState.WarmUpTolerance,
@@ -24,8 +24,9 @@
 }
 
 /**
- * Computes the share of gateways that are reachable, including this one. It is 0 if no peer has
- * reported yet although the settings name some: it is then unknown how many gateways grant slots.
+ * Computes the share of gateways that are reachable, including this one. The share is 0 if no peer
+ * has reported yet although the settings name some, because the number of gateways that grant
+ * slots is then unknown.
  */
 function computeReachableShare(state: gatewayState.GatewayState, now: number): number {
   const { peers, seeds } = state;
@@ -35,8 +36,9 @@
 }
 
 /**
- * How long after it was first seen a store entry is sent along with grants, in milliseconds.
- * The other gateways read the store less often, and some of their calls fail.
+ * How long a backend server's store entry is sent along with grants after the server was first
+ * seen, in milliseconds. The other gateways read the store less often, and some of their calls
+ * fail.
  */
 const RECENT_ENTRY_MS = 4000;
 
@@ -49,7 +51,7 @@
   return new Map(recent.map(({ entry }) => [entry.id, entry]));
 }
 
-/** Describes the backend servers and slots of a cell that this gateway's scheduler may grant. */
+/** Describes the backend servers of a cell, and which slots this gateway's scheduler may grant. */
 export function findCellServers(
   state: gatewayState.GatewayState,
   cellName: string,
--- a/packages/core/src/gateway/configuration-index.ts
+++ b/packages/core/src/gateway/configuration-index.ts
@@ -8,7 +8,7 @@
   serviceByName: Map<string, configuration.ServiceDeclaration>;
   /** Undefined if callers need no credentials. */
   workspaceByCredential: Map<string, configuration.WorkspaceDeclaration> | undefined;
-  /** Workspaces with a quota. */
+  /** Contains only workspaces with a quota. */
   quotaByWorkspace: Map<string, configuration.Quota>;
 };
 
--- a/packages/core/src/gateway/configuration-lease.test.ts
+++ b/packages/core/src/gateway/configuration-lease.test.ts
@@ -20,7 +20,7 @@
 });
 
 test('suspended VM', () => {
-  // A VM is suspended for ten seconds while a key is revoked. Its steady clock stopped, so
+  // A VM is suspended for ten seconds while a credential is revoked. Its steady clock stopped, so
   // the lease would still hold by that clock alone; the other clocks kept running.
   const now = { steadyMs: 1010, wallMs: 60_010, uptimeMs: 19_010 };
   assert.equal(getStatus(now), configurationLease.LeaseStatus.UNCONFIRMED);
--- a/packages/core/src/gateway/configuration-lease.ts
+++ b/packages/core/src/gateway/configuration-lease.ts
@@ -18,7 +18,7 @@
 };
 
 export type ConfigurationLease = {
-  /** When the last store call that got a response was sent; undefined before the first. */
+  /** When the store call that last renewed the lease was sent; undefined if there is no lease. */
   confirmed: ClockReading | undefined;
   /** Since when the store has returned an older configuration than a peer has, in ms. */
   behindSinceMs: number | undefined;
--- a/packages/core/src/gateway/configuration.ts
+++ b/packages/core/src/gateway/configuration.ts
@@ -1,6 +1,6 @@
 /** The configuration of a gateway, independent of the format in which the store holds it. */
 
-/** Whether requests may be repeated, and in which form the response comes. */
+/** Whether requests may run more than once, and in which form the response comes. */
 export enum RouteKind {
   /** Idempotent: may run more than once. */
   SAFE = 'safe',
@@ -21,7 +21,7 @@
   kind: RouteKind;
   /** Maximum time that a request is kept, in milliseconds. */
   timeoutMs: number;
-  /** Latency target: a response within this time counts as on time, in milliseconds. */
+  /** Latency target: a first byte within this time is on time, in milliseconds. */
   targetMs: number;
   /** How long callers wait for the first part of a response, in milliseconds. */
   patienceMs: number;
@@ -82,7 +82,7 @@
 export type WorkspaceDeclaration = {
   name: string;
   credentials: string[];
-  /** Overrides the urgency of the route; undefined if not set. */
+  /** Takes precedence over the urgency of the route; undefined counts as 0. */
   urgency: number | undefined;
   /** Undefined if the workspace has no quota. */
   quota: Quota | undefined;
--- a/packages/core/src/gateway/crash-detection.test.ts
+++ b/packages/core/src/gateway/crash-detection.test.ts
@@ -49,9 +49,9 @@
 }
 
 test('content that crashes servers is refused', () => {
-  // A caller keeps retrying a request that crashes its backend server, which also fails all other
-  // requests there. After the second crash the request is refused as not run, also by a gateway
-  // that knows of the crashes only from its peer.
+  // A caller keeps retrying a request that crashes its backend server. Each crash also fails all
+  // other requests there. After the second crash the request is refused as not run, also by a
+  // gateway that knows of the crashes only from its peer.
   const first = gatewayFixture.createTestGateway(['a', 'bb']);
   assert.equal(runIntoCrash(first, '1', 0), true);
   assert.equal(runIntoCrash(first, '2', 3000), true);
--- a/packages/core/src/gateway/crash-detection.ts
+++ b/packages/core/src/gateway/crash-detection.ts
@@ -2,32 +2,32 @@
  * Identifies request content that crashes backend servers and decides when it is refused.
  *
  * A request whose content crashes an engine is retried, by its caller or by a gateway. Each
- * attempt takes down a backend server and all other requests there. When a backend server
- * crashes, the content of every request that broke off there becomes a suspect. Content that was
- * present at two crashes in a row is refused. A complete response clears its content, so that
- * frequently requested content is not refused for having run beside a crash. Gateways share their
+ * attempt crashes a backend server and fails all other requests there. When a backend server
+ * crashes, the content of every request whose connection broke there becomes a suspect. Content
+ * that was present at two crashes in a row is refused. A complete response clears its content, so
+ * that frequently requested content is not refused after unrelated crashes. Gateways share their
  * suspects, because a caller may retry through another gateway.
  */
 import * as suspects from '../shared/suspects.js';
 import type * as configurationLease from './configuration-lease.js';
 import type * as gatewayState from './gateway-state.js';
 
-/** A request that broke off, perhaps because its backend server crashed. */
+/** A request whose connection broke, perhaps because its backend server crashed. */
 export type BrokenRun = { contentDigest: string; atMs: number };
 
 /**
  * A backend server is regarded as crashed if it becomes unreachable, or if its store entry changes,
- * within this time after requests broke off there, milliseconds. The store entry of a dead server
+ * within this time after connections broke there, milliseconds. The store entry of a dead server
  * expires after some seconds; connections to it are refused immediately.
  */
 const CONFIRM_MS = 5000;
 /**
- * Crashes that are closer together count as one, milliseconds. Several backend servers may lose
+ * Crashes less than this time apart count as one, milliseconds. Several backend servers may lose
  * power at the same time, whereas a caller takes longer to retry.
  */
 const SAME_CRASH_MS = 1000;
 
-/** Records that a request broke off, unless its backend server was leaving. */
+/** Records that a request's connection broke, unless its backend server was leaving. */
 export function noteBrokenRun(
   state: gatewayState.GatewayState,
   serverId: string,
@@ -53,8 +53,8 @@
 }
 
 /**
- * Counts the crash of a backend server against the content that broke off there, and returns the
- * digests of the content for which it counted.
+ * Counts the crash of a backend server against the content of requests whose connections broke
+ * there, and returns the digests for which the crash was counted.
  */
 export function applyCrash(
   state: gatewayState.GatewayState,
--- a/packages/core/src/gateway/deadline-stats.test.ts
+++ b/packages/core/src/gateway/deadline-stats.test.ts
@@ -30,7 +30,7 @@
   deadlines.forEach((deadlineMs) => deadlineStats.noteDeadline(stats, workspace, deadlineMs));
 }
 
-test('elapsed time of a retry is what its deadline lacks to the maximum', () => {
+test('elapsed time of a retry is the maximum deadline minus its own', () => {
   const stats = deadlineStats.createDeadlineStats();
   noteAll(
     stats,
--- a/packages/core/src/gateway/deadline-stats.ts
+++ b/packages/core/src/gateway/deadline-stats.ts
@@ -4,8 +4,8 @@
  * A caller that was told to retry later, or whose gateway was lost, sends its request again with
  * the remaining time as its deadline. This matters in bursts, for instance at one and a half times
  * the capacity of the engines. A retried request has already missed its target. Treated as a new
- * one, it would take the slot of a request that can still be on time, whose caller is refused and
- * retries late in turn.
+ * one, it would take the slot of a request that can still be on time, and the caller of that
+ * request would be refused and retry late in turn.
  *
  * Most callers of a route send about the same deadline, and a shorter one indicates a retry. If
  * their deadlines differ, or if those of one workspace are typically shorter, no estimate is made,
@@ -14,7 +14,7 @@
 
 /** Statistics of the deadlines that callers send on one route. */
 export type DeadlineStats = {
-  /** Maximum deadline that callers send, milliseconds; outliers are discarded in time. */
+  /** Maximum deadline that callers send, milliseconds; outliers are discarded eventually. */
   maximumMs: number;
   /** Recent share of requests with about the maximum deadline, 0 to 1. */
   share: number;
--- a/packages/core/src/gateway/evacuations.test.ts
+++ b/packages/core/src/gateway/evacuations.test.ts
@@ -11,7 +11,7 @@
   return { failureDomain: 'd1', isEvacuated, revision: buildRevision(count) };
 }
 
-test('evacuated and returned to service', () => {
+test('domain is evacuated and returned to service', () => {
   const known = evacuations.createEvacuations();
   assert.ok(evacuations.applyEvacuation(known, buildChange(5, true), 10));
   assert.equal(evacuations.isEvacuated(known, 'd1'), true);
--- a/packages/core/src/gateway/gateway-request.ts
+++ b/packages/core/src/gateway/gateway-request.ts
@@ -47,7 +47,7 @@
   /** Configuration version that it was last checked against. */
   version: number;
   arrivedMs: number;
-  /** It has missed its target: to judge by its deadline, it has been retried for longer. */
+  /** It has missed its target: its deadline suggests that it has been retried for longer. */
   isBelated: boolean;
   /** A first byte after this time is late. */
   targetMs: number;
@@ -67,7 +67,7 @@
   sentMs: number;
   /** `sentMs` by the wall clock, milliseconds since the Unix epoch. */
   sentWallMs: number;
-  /** That backend server was rate-limited when the slot was granted. */
+  /** Its backend server was rate-limited when the slot was granted. */
   isRateLimited: boolean;
   /** Predicted time to the first event on an idle backend server, milliseconds. */
   idleFirstMs: number;
--- a/packages/core/src/gateway/gateway-state.ts
+++ b/packages/core/src/gateway/gateway-state.ts
@@ -1,4 +1,4 @@
-/** The state of one gateway, owned by its task. */
+/** The state of one gateway, owned by its gateway task. */
 import * as overload from '../shared/overload.js';
 import * as retryBudget from '../shared/retry-budget.js';
 import * as suspects from '../shared/suspects.js';
@@ -19,7 +19,7 @@
 /** Per-service state that spans requests. */
 export type ServiceState = {
   retries: retryBudget.RetryBudget;
-  /** Tracks requests that backend servers did not take. */
+  /** Since when requests have been refused because backend servers did not take them. */
   overload: overload.Overload;
 };
 
@@ -44,7 +44,7 @@
 export type GatewayBounds = {
   /** Duration of the configuration lease, milliseconds; Infinity for no limit. */
   leaseMs: number;
-  /** Store entries that expired in a store outage are restored this soon after it, milliseconds. */
+  /** Time after a store outage in which servers write expired entries again, milliseconds. */
   entryReturnMs: number;
   quotaTolerance: quotaLimit.QuotaTolerance;
   /** Retries allowed for each hundred requests. */
@@ -75,7 +75,7 @@
   lease: configurationLease.ConfigurationLease;
   servers: backendServers.BackendServers;
   cellMap: cellMap.CellMap;
-  /** Number of this gateway's requests at each backend server. */
+  /** Number of this gateway's requests in flight at each backend server. */
   inFlight: Map<string, number>;
   /** Communication state with the scheduler of each cell, by cell name. */
   links: Map<string, schedulerLink.SchedulerLink>;
@@ -166,8 +166,8 @@
 }
 
 /**
- * Computes the part of a shared quota that this gateway may use on its own. The shares of
- * unreachable gateways are reserved, because they may still be serving.
+ * Computes the part of a shared quota that is not reserved. The shares of unreachable gateways are
+ * reserved, because these may still be serving.
  */
 export function computeQuotaShare(state: GatewayState, now: number): number {
   const all = peerView.countGateways(state.peers);
--- a/packages/core/src/gateway/mocks/gateway-fixture.ts
+++ b/packages/core/src/gateway/mocks/gateway-fixture.ts
@@ -70,7 +70,7 @@
   };
 }
 
-/** Builds a store revision. */
+/** Builds a store revision, by default of epoch 0. */
 export function buildRevision(count: number, epoch = 0): storeRevision.StoreRevision {
   return { epoch, count };
 }
--- a/packages/core/src/gateway/peer-view.ts
+++ b/packages/core/src/gateway/peer-view.ts
@@ -11,7 +11,7 @@
   /** Identifies the sender's incarnation; new with each start of its process. */
   life: string;
   sequence: number;
-  /** The sender is leaving and sends no more reports. */
+  /** The sender is leaving; all its further reports say so too. */
   leaving: boolean;
   /** Tokens or requests admitted since the sender's start, by workspace. */
   used: Map<string, number>;
@@ -36,32 +36,32 @@
 
 export type PeerView = {
   byAddress: Map<string, Peer>;
-  /** When a peer last named each gateway in a report; they are sent reports too. */
+  /** When each gateway was last named in a peer's report; it is sent reports too. */
   indirectPeers: Map<string, number>;
-  /** When each incarnation that is leaving announced it. */
+  /** When each incarnation announced that it is leaving. */
   departed: Map<string, number>;
   /** Incremented whenever a gateway is added or leaves. */
   revision: number;
 };
 
 /**
- * Time between reports, in milliseconds. Quotas are charged with the usage in reports: five
- * reports per second keep what gateways admit without knowing of each other within the
+ * Time between reports, in milliseconds. Quotas are charged with the usage in reports: with five
+ * reports per second, what gateways admit without knowing of each other stays within the
  * tolerance.
  */
 export const REPORT_MS = 200;
-/** Peers that each round of reports is sent to: 16 times five 1 KB datagrams are 80 KB/s. */
+/** Maximum peers per round of reports: 16 datagrams of 1 KB five times a second are 80 KB/s. */
 export const MAX_FAN_OUT = 16;
 /** A peer is reachable for at least this time after a report, in milliseconds: five rounds. */
 const MIN_REACHABLE_MS = 1000;
-/** The same in full passes over all peers, if one round does not reach all of them. */
+/** The same as a number of passes over all peers, if one round does not reach all of them. */
 const REACHABLE_PASSES = 3;
 /**
  * How long an unreachable peer keeps its share of quotas, in milliseconds. It may still be
- * serving behind a network partition; on the users' platform these last for minutes.
+ * serving behind a network partition; on the users' platform partitions last for minutes.
  */
 const UNREACHABLE_PEER_RETENTION_MS = 60_000;
-/** How long a gateway is kept that was only named by a peer, in milliseconds. */
+/** How long a gateway that only a peer has named is kept, in milliseconds. */
 const INDIRECT_PEER_RETENTION_MS = 5000;
 
 /**
@@ -82,7 +82,7 @@
  * Lists the usage that a report adds to what was known of its sender.
  *
  * The first report of a peer that has run for long adds nothing: its totals may be hours old,
- * and a gateway that has just started would reject all requests until they are paid off. All
+ * and a gateway that has just started would reject all requests until its buckets recovered. All
  * usage of a new peer is recent and counts. Otherwise, after all gateways were killed, what
  * each of them admitted before it received the others' reports would never be charged, and a
  * workspace would run more than its quota allows.
@@ -147,7 +147,7 @@
   return view.byAddress.get(address)?.life === life;
 }
 
-/** Removes peers that have been unreachable for too long. */
+/** Removes peers that have been unreachable for too long, and old records of other gateways. */
 export function expirePeers(view: PeerView, now: number): void {
   [...view.byAddress]
     .filter(([, peer]) => now - peer.heardMs > UNREACHABLE_PEER_RETENTION_MS)
--- a/packages/core/src/gateway/pending-asks.ts
+++ b/packages/core/src/gateway/pending-asks.ts
@@ -13,7 +13,7 @@
 import * as schedulerLink from './scheduler-link.js';
 import * as schedulerRanking from './scheduler-ranking.js';
 
-/** Unsent observations kept for each link; older ones are of little use and are dropped. */
+/** Maximum number of unsent observations per link; older ones are of little use and dropped. */
 const MAX_KEPT_OBSERVATIONS = 48;
 
 /** Returns the cells of a service. */
@@ -55,7 +55,7 @@
 
 /**
  * Estimates the load of a cell: its running and queued requests as last reported, plus the pending
- * asks of this gateway, divided by its slots.
+ * asks of this gateway, divided by the slots of the cell.
  */
 function estimateLoad(state: gatewayState.GatewayState, cellName: string): number {
   const link = state.links.get(cellName);
@@ -84,7 +84,7 @@
     : first;
 }
 
-/** Asks a cell for a slot for a request. Returns false if every cell has declined it. */
+/** Asks a cell for a slot for a request. Returns false if every cell has declined the request. */
 export function askPlace(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
--- a/packages/core/src/gateway/rate-limits.test.ts
+++ b/packages/core/src/gateway/rate-limits.test.ts
@@ -73,7 +73,7 @@
 });
 
 test('response to a request from before the limit does not lift it', () => {
-  // Guards against a limit that is lifted by a late response to a request that was sent before it.
+  // Guards against a limit that is lifted by a late response to a request sent before the limit.
   const state = gatewayFixture.createTestGateway([SERVER]);
   const early = sendRequest(state, 10);
   const other = sendRequest(state, 11);
--- a/packages/core/src/gateway/request-admission.ts
+++ b/packages/core/src/gateway/request-admission.ts
@@ -60,7 +60,7 @@
   );
 }
 
-/** Estimates how long the caller of a request has been retrying it, milliseconds. */
+/** Records a request's deadline; estimates how long its caller has been retrying, milliseconds. */
 function estimateElapsedMs(
   { deadlineStatsByRoute }: gatewayState.GatewayState,
   routeName: string,
--- a/packages/core/src/gateway/request-end.ts
+++ b/packages/core/src/gateway/request-end.ts
@@ -59,7 +59,7 @@
   return notRun;
 }
 
-/** Ends a request in any phase whose time is over or whose caller has disconnected. */
+/** Ends a request, in any phase, because its time is over or its caller has disconnected. */
 export function abandonRequest(
   state: gatewayState.GatewayState,
   request: gatewayRequest.GatewayRequest,
--- a/packages/core/src/gateway/schedule-replies.ts
+++ b/packages/core/src/gateway/schedule-replies.ts
@@ -72,7 +72,7 @@
   ];
 }
 
-/** Applies one refusal; ignores it if its request is not waiting for it. */
+/** Applies one decline (`PlaceRefusal`); ignores it if its request is not waiting for it. */
 function applyRefusal(
   state: gatewayState.GatewayState,
   link: schedulerLink.SchedulerLink,
--- a/packages/core/src/gateway/scheduler-link.ts
+++ b/packages/core/src/gateway/scheduler-link.ts
@@ -83,7 +83,7 @@
 }
 
 /**
- * Records a reply. A scheduler that has restarted has lost its state.
+ * Records a reply. A scheduler that has restarted has lost its state and does not know the asks.
  *
  * @param echo sequence number of the ask that the reply belongs to
  */
--- a/packages/core/src/gateway/scheduler-ranking.ts
+++ b/packages/core/src/gateway/scheduler-ranking.ts
@@ -63,7 +63,7 @@
     .map(({ address }) => address);
 }
 
-/** Updates the ranking to the gateways that are reachable. */
+/** Recomputes an outdated ranking for the gateways that are reachable now. */
 function updateRanking(
   ranking: SchedulerRanking,
   view: peerView.PeerView,
@@ -81,9 +81,9 @@
 }
 
 /**
- * Updates the orders of all cells to the gateways that may schedule, incrementally. When a fleet
- * of hundreds of gateways starts, they become known one at a time; ranking dozens of cells from
- * scratch each time takes all of a small VM's processor for seconds.
+ * Updates the orders of all cells incrementally for the gateways that may schedule now. When a
+ * fleet of hundreds of gateways starts, they become known one at a time; ranking dozens of cells
+ * from scratch each time would take all processor time of a small VM for seconds.
  */
 function updateOrders(ranking: SchedulerRanking, addresses: string[]): void {
   const before = new Set(ranking.addresses);
--- a/packages/core/src/gateway/server-admission.test.ts
+++ b/packages/core/src/gateway/server-admission.test.ts
@@ -35,8 +35,8 @@
 });
 
 test('nothing is sent to a leaving server or during a backoff', () => {
-  // Guards against sending a request that was assigned before the server stated this and whose
-  // connection opens after it.
+  // Guards against sending a request that was assigned before the server's statement and whose
+  // connection opens after the statement.
   const leaving = createAssigned();
   const leavingStatement = { ...serverStatements.EMPTY_STATEMENT, isLeaving: true };
   backendServers.applyStatement(leaving.state.servers, INCARNATION, leavingStatement, 50);
--- a/packages/core/src/gateway/server-admission.ts
+++ b/packages/core/src/gateway/server-admission.ts
@@ -1,8 +1,8 @@
 /**
  * Decides whether a request may be sent to a backend server now.
  *
- * Checked when a grant is used and again right before the first byte is sent: the scheduler may
- * not know of a recent change, and opening a connection may take tenths of a second.
+ * This is checked when a grant is used and again right before the first byte is sent: the scheduler
+ * may not know of a recent change, and opening a connection may take tenths of a second.
  */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as allowedDomains from './allowed-domains.js';
--- a/packages/core/src/gateway/server-entries.test.ts
+++ b/packages/core/src/gateway/server-entries.test.ts
@@ -60,7 +60,7 @@
   assert.equal(isUsable(servers, 'a', 9000), true);
 });
 
-test('evacuated again with a lower write count', () => {
+test('domain evacuated again with a lower write count', () => {
   // A new change by an operator must not be ignored because its count is lower than that of a
   // change before the restore.
   const servers = createServers([]);
--- a/packages/core/src/gateway/server-entries.ts
+++ b/packages/core/src/gateway/server-entries.ts
@@ -137,8 +137,8 @@
 
 /**
  * Holds back new work for a time from a backend server that is in service according to a restored
- * backup although this gateway knows that it has left. Otherwise it would receive requests while
- * it is shutting down or after that. The hold ends once the backend server writes its entry again.
+ * backup although this gateway knows that it has left. Otherwise the server would receive requests
+ * during or after its shutdown. The hold ends once the server writes its entry again.
  */
 function holdDeparted(
   { byId, departed }: backendServers.BackendServers,
@@ -195,9 +195,9 @@
 
 /**
  * Applies an entry that arrives with a scheduler's grant: while requests are queued, a scheduler
- * reads the store more often than other gateways. Otherwise, if a quarter of the engines
- * crashed and came back in the middle of a burst, they would stay idle until each gateway had
- * read their entries.
+ * reads the store more often than other gateways. Without such entries, if a quarter of the
+ * engines crashed and came back in the middle of a burst, they would stay idle until each gateway
+ * had read their entries.
  *
  * What this gateway has read from the store takes precedence: an unknown entry that is not newer
  * than that has been removed since.
--- a/packages/core/src/gateway/server-statements.ts
+++ b/packages/core/src/gateway/server-statements.ts
@@ -79,8 +79,8 @@
  */
 const RETENTION_MS = 60_000;
 /**
- * How long schedulers are informed that a limit has been lifted, in milliseconds. This is longer
- * than a gateway that still knows the limit goes without a response from a busy backend server.
+ * How long schedulers are informed that a limit has been lifted, in milliseconds. A gateway that
+ * still knows the limit gets a response from a busy backend server sooner than that.
  */
 const LIFTED_LIMIT_REPORT_MS = 10_000;
 
@@ -139,8 +139,8 @@
  * Returns whether a response without a stated limit lifts the known one.
  *
  * It does so only if this gateway or the scheduler knew of the limit when the request was sent.
- * Responses may arrive out of order: one from before the overload may arrive after the first
- * one that states the limit.
+ * Responses may arrive out of order: a response from before the overload may arrive after the
+ * first one that states the limit.
  */
 function isLimitLifted(
   known: StatedRateLimit | undefined,
--- a/packages/core/src/gateway/store-responses.test.ts
+++ b/packages/core/src/gateway/store-responses.test.ts
@@ -43,8 +43,8 @@
 }
 
 test('list with an older version than a peer does not renew the lease', () => {
-  // A gateway that starts with a store restored from an older backup must not accept keys that
-  // have been revoked since.
+  // A gateway that starts with a store restored from an older backup must not accept credentials
+  // that have been revoked since.
   const state = createState();
   applyVersion(state, 2, 5);
   const outcome = storeResponses.noteStoreResponse(state, buildClocks(10), true, 20);
@@ -64,7 +64,7 @@
 });
 
 test('version that a peer reports after the store call was sent', () => {
-  // Gateways must not reject callers with each change of the configuration.
+  // A change of the configuration must not make gateways reject callers.
   const state = createState();
   applyVersion(state, 2, 15);
   const outcome = storeResponses.noteStoreResponse(state, buildClocks(10), true, 20);
--- a/packages/core/src/gateway/store-responses.ts
+++ b/packages/core/src/gateway/store-responses.ts
@@ -3,9 +3,9 @@
  *
  * Responses are linearizable: a list that is requested after a peer has reported a version
  * contains that version or a later one, unless the store has been restored from an older backup.
- * A gateway that starts after such a restore reads revoked keys as valid. It therefore renews no
- * lease until the store has caught up, so that callers with keys are rejected and find another
- * gateway.
+ * A gateway that starts after such a restore reads revoked credentials as valid. It therefore does
+ * not renew its lease until the store has caught up, so that callers with credentials are rejected
+ * and find another gateway.
  */
 import * as configurationLease from './configuration-lease.js';
 import type * as gatewayState from './gateway-state.js';
--- a/packages/core/src/gateway/token-quota.test.ts
+++ b/packages/core/src/gateway/token-quota.test.ts
@@ -84,7 +84,7 @@
 
 test('restarted gateways begin with the declared burst', () => {
   // All gateways are killed after a workspace has used up a window, and restart at once without
-  // knowing of it. With the raised burst, the use in that window would exceed its limit.
+  // knowing of that use. With the raised burst, the use in that window would exceed its limit.
   const raised = quotaLimit.applyTolerance(DECLARED, TOLERANCE);
   const { burst } = DECLARED;
   assert.equal(takeTokens(tokenQuota.createQuotaState(), raised, burst, 1, 0).kind, 'within');
--- a/packages/core/src/gateway/token-quota.ts
+++ b/packages/core/src/gateway/token-quota.ts
@@ -21,7 +21,7 @@
 };
 
 const MS_PER_SECOND = 1000;
-/** After exceeding its declared quota, a workspace is within it again after this time, seconds. */
+/** A workspace over its declared quota is within it again after at most this time, seconds. */
 const MAX_DEBT_S = 1;
 
 /** Amount that peers admitted for a workspace before its first request at this gateway. */
--- a/packages/core/src/gateway/unservable-requests.ts
+++ b/packages/core/src/gateway/unservable-requests.ts
@@ -19,7 +19,7 @@
 
 /**
  * Retry delay for callers of an evacuated service, milliseconds. Operators end an evacuation by
- * hand, so one retry each second notices it soon enough.
+ * hand, so one retry each second notices the end soon enough.
  */
 const EVACUATED_RETRY_AFTER_MS = 1000;
 
--- a/packages/core/src/gateway/warm-up-times.ts
+++ b/packages/core/src/gateway/warm-up-times.ts
@@ -7,11 +7,11 @@
 /**
  * Computes when the warm-up of a backend server ends, in milliseconds; -Infinity if it is warm.
  *
- * The store entry of a backend server contains this, but arrives late. A backend server is
- * therefore also treated as warming up after its failure domain returns to service, until an entry
- * written after the return arrives, and after its incarnation is first seen if its entry does not
- * contain a warm-up time. Otherwise all queued requests would go to the emptiest backend server
- * and crash it.
+ * The store entry of a backend server contains the remaining warm-up time, but arrives late. A
+ * backend server is therefore also treated as warming up in two cases: after its failure domain
+ * returns to service, until an entry written after the return arrives; and after its incarnation
+ * is first seen, if its entry does not contain a warm-up time. Otherwise all queued requests would
+ * go to the emptiest backend server and crash it.
  *
  * @param warmUpMs duration of the warm-up of the service's backend servers, in milliseconds
  */
