--- a/packages/cli/src/daemon-command.ts
+++ b/packages/cli/src/daemon-command.ts
@@ -13,7 +13,7 @@
   context: clipanion.BaseContext,
   path: string,
   fileKind: inputFile.FileKind,
-  parse: (json: string) => schema.Parsed<T>,
+  parse: (json: string) => schema.ParseResult<T>,
 ): SettingsRead<T> {
   let text: string;
   try {
--- a/packages/cli/src/input-file.ts
+++ b/packages/cli/src/input-file.ts
@@ -48,7 +48,7 @@
 }
 
 /** Converts a parse result to an input. */
-function toInput<K extends FileKind>(fileKind: K, parsed: schema.Parsed<Values[K]>): Input {
+function toInput<K extends FileKind>(fileKind: K, parsed: schema.ParseResult<Values[K]>): Input {
   return parsed.kind === 'faulty'
     ? { kind: 'faulty', fileKind, faults: parsed.faults }
     : ({ kind: 'valid', fileKind, value: parsed.value } as Input);
--- a/packages/core/src/gateway/index.ts
+++ b/packages/core/src/gateway/index.ts
@@ -29,9 +29,9 @@
 export type { BackendServerEntry } from '../shared/backend-server-entry.js';
 export * from '../shared/store-revision.js';
 export {
-  hasQueuedRequests as isWorkWaiting,
+  hasQueuedRequests,
   type Candidate,
   type Scheduler,
-  type SchedulingDecision as SchedulingNote,
+  type SchedulingDecision,
 } from '../scheduler/index.js';
 export { expireSuspects, listSuspects, mergeSuspects } from '../shared/suspects.js';
--- a/packages/gateway/src/request-reports.ts
+++ b/packages/gateway/src/request-reports.ts
@@ -75,7 +75,7 @@
 /** Reports what this gateway decided as the scheduler of a cell. */
 export function reportScheduled(
   { readClocks, log }: ReportDependencies,
-  notes: readonly gateway.SchedulingNote[],
+  notes: readonly gateway.SchedulingDecision[],
 ): void {
   if (notes.length === 0) {
     return;
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -69,7 +69,7 @@
 
 /** Chooses the interval between calls, ms; it is shorter while requests are queued here. */
 function chooseIntervalMs({ scheduler }: gateway.GatewayState, usualMs: number): number {
-  return gateway.isWorkWaiting(scheduler) ? Math.min(SCHEDULING_INTERVAL_MS, usualMs) : usualMs;
+  return gateway.hasQueuedRequests(scheduler) ? Math.min(SCHEDULING_INTERVAL_MS, usualMs) : usualMs;
 }
 
 /** Finds the longest common prefix; an empty string if there is none. */
--- a/packages/proofs/src/callers-docs.test.ts
+++ b/packages/proofs/src/callers-docs.test.ts
@@ -7,7 +7,7 @@
 const DOCS = new URL('../../../docs/', import.meta.url);
 const BLOCK_PATTERN = /```json (\w+)\n([^]*?)```/g;
 
-const PARSERS: Record<string, (json: string) => schema.Parsed<unknown>> = {
+const PARSERS: Record<string, (json: string) => schema.ParseResult<unknown>> = {
   entry: schema.parseEntrySettings,
   agent: schema.parseAgentSettings,
   document: schema.parseDocument,
--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -14,7 +14,7 @@
 export { HARD_BODY_LIMIT } from './check-document.js';
 export * from './document-defaults.js';
 export { formatFault } from './fault.js';
-export type { Fault, ParseResult as Parsed } from './fault.js';
+export type { Fault, ParseResult } from './fault.js';
 export * from './parse-document.js';
 export * from './result-status.js';
 export * from './settings-defaults.js';
