--- a/packages/core/src/scheduler/asks.ts
+++ b/packages/core/src/scheduler/asks.ts
@@ -1,15 +1,15 @@
-/** Takes in what gateways ask the scheduler of a cell for. */
+/** Handles the `ScheduleAsk` messages that gateways send to the scheduler of a cell. */
 import * as schema from '@toucanproxy/schema';
 import * as cells from './cell.js';
 import * as enginePace from './engine-pace.js';
-import * as firstDelay from './first-delay.js';
+import * as addedLatency from './added-latency.js';
 import * as rateLimit from './rate-limit.js';
 import type * as scheduledRequest from './scheduled-request.js';
 import * as serverHealth from './server-health.js';
 import * as waitQueue from './wait-queue.js';
 import * as waiting from './waiting.js';
 
-/** Gets what is known of a gateway; one that has restarted begins anew. */
+/** Returns the state of a gateway; creates it if the gateway is new or has restarted. */
 function getAsker(cell: cells.Cell, ask: schema.ScheduleAsk, now: number): cells.CellAsker {
   const known = cell.askers.get(ask.address);
   if (known?.life === ask.life) {
@@ -25,15 +25,15 @@
     heardMs: now,
     inFlight: new Map(),
     backoffs: new Map(),
-    openGrants: [],
+    unreportedGrants: [],
     requests: new Map(),
-    reply: cells.makeReply(),
+    reply: cells.createPendingReply(),
   };
   cell.askers.set(ask.address, asker);
   return asker;
 }
 
-/** Forgets a request. */
+/** Removes a waiting request. */
 export function dropRequest(
   cell: cells.Cell,
   asker: cells.CellAsker,
@@ -44,47 +44,47 @@
   asker.requests.delete(request.serial);
 }
 
-/** Forgets all requests of a gateway. */
+/** Removes all waiting requests of a gateway. */
 export function dropRequests(cell: cells.Cell, asker: cells.CellAsker): void {
   [...asker.requests.values()].forEach((request) => dropRequest(cell, asker, request));
 }
 
-/** Notes what a gateway saw of a backend server. */
-function noteObservation(
+/** Records what a gateway observed at a backend server. */
+function recordObservation(
   cell: cells.Cell,
   { serverId, kind, ms }: schema.ServerObservation,
   now: number,
 ): void {
-  const load = cells.getServerHealth(cell, serverId);
+  const health = cells.getServerHealth(cell, serverId);
   switch (kind) {
     case schema.ServerObservation_Kind.FIRST_EVENT:
-      firstDelay.recordExtra(cell.firstDelay, ms, now);
-      firstDelay.recordExtra(load.firstDelay, ms, now);
+      addedLatency.recordAddedLatency(cell.addedLatency, ms, now);
+      addedLatency.recordAddedLatency(health.addedLatency, ms, now);
       break;
     case schema.ServerObservation_Kind.UNIT:
-      enginePace.recordUnit(load.pace, ms, now);
+      enginePace.recordUnitTime(health.pace, ms, now);
       break;
     case schema.ServerObservation_Kind.GOOD_ANSWER:
     case schema.ServerObservation_Kind.FAILED_ANSWER:
-      serverHealth.recordAnswer(load, kind === schema.ServerObservation_Kind.GOOD_ANSWER, now);
+      serverHealth.recordAnswer(health, kind === schema.ServerObservation_Kind.GOOD_ANSWER, now);
       break;
     case schema.ServerObservation_Kind.NOT_TAKEN:
-      serverHealth.pauseServer(load, now);
+      serverHealth.pauseServer(health, now);
       break;
     case schema.ServerObservation_Kind.UNREACHABLE:
-      serverHealth.noteUnreachable(load, now);
+      serverHealth.noteUnreachable(health, now);
       break;
     default:
   }
 }
 
-/** Brings what a gateway has in flight in line with what it tells. */
+/** Replaces the requests in flight of a gateway by those it reports, and drops reported grants. */
 function applyInFlight(asker: cells.CellAsker, ask: schema.ScheduleAsk): void {
   asker.inFlight = new Map(ask.inFlight.map(({ serverId, requests }) => [serverId, requests]));
-  asker.openGrants = asker.openGrants.filter(({ number }) => number > ask.lastGrant);
+  asker.unreportedGrants = asker.unreportedGrants.filter(({ number }) => number > ask.lastGrant);
 }
 
-/** Takes in what backend servers have stated to a gateway. */
+/** Applies the backoffs and rate limits that backend servers have stated to a gateway. */
 function applyStatements(
   cell: cells.Cell,
   { backoffs }: cells.CellAsker,
@@ -101,13 +101,13 @@
       backoffs.set(serverId, now + backoffLeftMs);
     }
     if (limit !== undefined) {
-      const told = { serverId, perSecond: limit.perSecond, toldMs: now - limit.ageMs };
-      rateLimit.applyTold(cell.rateLimits, told, now);
+      const reported = { serverId, perSecond: limit.perSecond, statedMs: now - limit.ageMs };
+      rateLimit.applyReportedLimit(cell.rateLimits, reported, now);
     }
   });
 }
 
-/** Makes the record of a request that a gateway asks a place for. */
+/** Creates the record of a request for which a gateway asks for a slot. */
 function makeRequest(
   cell: cells.Cell,
   address: string,
@@ -141,7 +141,7 @@
   };
 }
 
-/** Turns a request away. */
+/** Adds the refusal of a request to the reply to its gateway. */
 export function refuseRequest(
   cell: cells.Cell,
   asker: cells.CellAsker,
@@ -154,7 +154,7 @@
   asker.reply.refusals.push({ serial, isOnArrival, retryAfterMs });
 }
 
-/** Lets a request wait, or turns it away; asked again, it waits on. */
+/** Queues or refuses a request; one that is already queued is accepted again. */
 function addRequest(
   cell: cells.Cell,
   address: string,
@@ -178,10 +178,11 @@
 }
 
 /**
- * Takes in an ask.
+ * Handles a `ScheduleAsk`.
  *
- * A datagram that was overtaken by a later one tells nothing new of what is in
- * flight, and would bring back what has ended; its requests are asked for again.
+ * A datagram that arrives after a later one is ignored, because its report of the requests in
+ * flight is outdated and would restore those that have ended. The gateway sends requests that were
+ * not accepted again.
  */
 export function receiveAsk(
   cell: cells.Cell,
@@ -196,10 +197,10 @@
   asker.sequence = ask.sequence;
   asker.heardMs = now;
   asker.reply.isDue = true;
-  cell.askedMs = now;
+  cell.lastAskMs = now;
   applyInFlight(asker, ask);
   applyStatements(cell, asker, ask, now);
-  ask.observations.forEach((one) => noteObservation(cell, one, now));
+  ask.observations.forEach((one) => recordObservation(cell, one, now));
   ask.withdrawn.forEach((serial) => {
     const request = asker.requests.get(serial);
     if (request !== undefined) {
--- a/packages/core/src/scheduler/candidates.ts
+++ b/packages/core/src/scheduler/candidates.ts
@@ -1,81 +1,82 @@
-/** What is weighed of the backend servers of a cell when a request is placed. */
+/** Builds the placement candidates of a cell from what is known of its backend servers. */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as cells from './cell.js';
 import * as enginePace from './engine-pace.js';
-import * as firstDelay from './first-delay.js';
+import * as addedLatency from './added-latency.js';
 import * as rateLimit from './rate-limit.js';
 import type * as serverChoice from './server-choice.js';
 import * as serverHealth from './server-health.js';
 import * as warmUp from './warm-up.js';
 
-/** The backend servers of a cell, as the scheduler's gateway knows them. */
+/** What the gateway that runs the scheduler knows of the backend servers of a cell. */
 export type CellServers = {
-  /** Those that may get new work. */
+  /** Store entries of the backend servers that may get new requests. */
   entries: readonly backendServerEntry.BackendServerEntry[];
   tokensPerEvent: number;
-  /** Part of the places that may be given out. */
+  /** Share of the slots that may be granted, 0 to 1. */
   placeShare: number;
-  /** Part of the gateways that are heard, this one included; 0 where that is unknown. */
+  /** Share of the gateways that are reachable, including this one; 0 if unknown. */
   reachableShare: number;
-  /** There are other gateways, which may have something in flight. */
+  /** There are other gateways, which may have requests in flight. */
   hasPeers: boolean;
-  /** Undefined where backend servers bear their full load from the start on. */
+  /** Undefined if the backend servers can handle their full load right after their start. */
   warmUp: warmUp.WarmUpLimit | undefined;
-  /** Until when each backend server warms up, by id, milliseconds. */
+  /** End of the warm-up of each backend server that warms up, by id, milliseconds. */
   warmUpEndMs: ReadonlyMap<string, number>;
-  /** Entries that other gateways may not have read yet, by id. */
+  /** Store entries that other gateways may not have read yet, by id. */
   recentEntries: ReadonlyMap<string, backendServerEntry.BackendServerEntry>;
 };
 
 /**
- * Where fewer than this share of the backend servers would be left, none is ejected
- * for failures: then the requests are at fault, and waiting helps none of them.
+ * If less than this share of the backend servers would remain, none is ejected for failures. The
+ * requests are then the likely cause, and waiting would not help them.
  */
-const MIN_SOUND_SHARE = 0.5;
-/** Places of a plain service whose entry names none. */
+const MIN_HEALTHY_SHARE = 0.5;
+/** Slots of a backend server whose store entry gives no number, as in a plain service. */
 const DEFAULT_SLOTS = 4;
 
-/** Gets the requests that a backend server works on at once. */
+/** Returns the number of requests that a backend server processes concurrently. */
 export function getSlots({ slots }: backendServerEntry.BackendServerEntry): number {
   return slots || DEFAULT_SLOTS;
 }
 
 /**
- * Tells whether a backend server warms up, or may do so since it could not be reached: it
- * may come back as late as the next try, which is the longest pause away.
+ * Reports whether a backend server warms up, or may do so because it was recently unreachable. It
+ * may have restarted at any time up to the next attempt to reach it, which is made after the
+ * longest pause at the latest.
  */
 function isWarming(
   cell: cells.Cell,
-  { warmUp: limit, warmUpEndMs: warmUntilMs }: CellServers,
+  { warmUp: limit, warmUpEndMs }: CellServers,
   serverId: string,
   now: number,
 ): boolean {
   const { unreachableMs } = cells.getServerHealth(cell, serverId);
-  const suspectedMs = serverHealth.LONGEST_PAUSE_MS + (limit?.durationMs ?? 0);
+  const suspectedMs = serverHealth.MAX_PAUSE_MS + (limit?.durationMs ?? 0);
   const suspectedUntilMs = unreachableMs + suspectedMs;
-  return now < Math.max(warmUntilMs.get(serverId) ?? -Infinity, suspectedUntilMs);
+  return now < Math.max(warmUpEndMs.get(serverId) ?? -Infinity, suspectedUntilMs);
 }
 
-/** Counts the requests that a backend server may be started with now. */
+/** Counts the requests that may be started at a backend server now. */
 export function countStartsLeft(
   cell: cells.Cell,
   servers: CellServers,
   serverId: string,
   now: number,
 ): number {
-  const { reachableShare: heardShare } = servers;
-  const view = { isWarming: isWarming(cell, servers, serverId, now), heardShare };
+  const { reachableShare } = servers;
+  const state = { isWarming: isWarming(cell, servers, serverId, now), reachableShare };
   const starts = cell.starts.get(serverId) ?? [];
   return Math.min(
-    warmUp.countStartsLeft(starts, servers.warmUp, view, now),
-    rateLimit.countStartsLeft(cell.rateLimits.get(serverId), heardShare, now),
+    warmUp.countStartsLeft(starts, servers.warmUp, state, now),
+    rateLimit.countStartsLeft(cell.rateLimits.get(serverId), reachableShare, now),
   );
 }
 
 /**
- * Counts the places of a cell. A backend server that is held back while it warms up, or by
- * its rate limit, has only those that it uses, and those that it may be given now: callers
- * who are told of more would wait.
+ * Counts the slots of a cell. For a backend server that is restricted by its warm-up or rate
+ * limit, only the slots in use and the requests that may be started now count, because requests
+ * admitted for any further slots would have to wait.
  */
 export function countPlaces(
   cell: cells.Cell,
@@ -84,12 +85,12 @@
   now: number,
 ): number {
   return servers.entries.reduce((sum, entry) => {
-    const reachable = (taken.get(entry.id) ?? 0) + countStartsLeft(cell, servers, entry.id, now);
-    return sum + Math.min(getSlots(entry), reachable);
+    const startable = (taken.get(entry.id) ?? 0) + countStartsLeft(cell, servers, entry.id, now);
+    return sum + Math.min(getSlots(entry), startable);
   }, 0);
 }
 
-/** Lists the backend servers of a cell that may get work now. */
+/** Lists the backend servers of a cell that are neither paused nor ejected. */
 export function listCandidates(
   cell: cells.Cell,
   servers: CellServers,
@@ -98,18 +99,18 @@
 ): serverChoice.Candidate[] {
   const usable = servers.entries.map((entry) => ({
     entry,
-    load: cells.getServerHealth(cell, entry.id),
+    health: cells.getServerHealth(cell, entry.id),
     inFlight: taken.get(entry.id) ?? 0,
   }));
-  const usualMs = firstDelay.estimateExtraMs(cell.firstDelay, now);
-  const fastest = enginePace.findFastest(usable.map(({ load }) => load.pace));
-  const reachable = usable.filter(({ load }) => !serverHealth.isPaused(load, now));
-  const sound = reachable.filter(
-    ({ load, inFlight }) => !serverHealth.isEjected(load, inFlight, now),
+  const cellAddedMs = addedLatency.estimateAddedLatencyMs(cell.addedLatency, now);
+  const fastest = enginePace.findShortestUnitMs(usable.map(({ health }) => health.pace));
+  const unpaused = usable.filter(({ health }) => !serverHealth.isPaused(health, now));
+  const healthy = unpaused.filter(
+    ({ health, inFlight }) => !serverHealth.isEjected(health, inFlight, now),
   );
-  const isCapped = sound.length < MIN_SOUND_SHARE * usable.length;
-  return (isCapped ? reachable : sound).map(({ entry, load, inFlight }) => {
-    const slowness = enginePace.estimateSlowness(load.pace, fastest, now);
+  const isEjectionSuspended = healthy.length < MIN_HEALTHY_SHARE * usable.length;
+  return (isEjectionSuspended ? unpaused : healthy).map(({ entry, health, inFlight }) => {
+    const slowness = enginePace.estimateSlowness(health.pace, fastest, now);
     return {
       id: entry.id,
       failureDomain: entry.failureDomain,
@@ -119,8 +120,8 @@
       isRateLimited: rateLimit.isLimited(cell.rateLimits.get(entry.id)),
       slowness,
       unitMs: fastest * slowness,
-      firstExtraMs: firstDelay.estimateExtraMs(load.firstDelay, now, usualMs),
-      failureShare: serverHealth.computeFailureShare(load),
+      addedLatencyMs: addedLatency.estimateAddedLatencyMs(health.addedLatency, now, cellAddedMs),
+      failureShare: serverHealth.computeFailureShare(health),
     };
   });
 }
--- a/packages/core/src/scheduler/cell-split.test.ts
+++ b/packages/core/src/scheduler/cell-split.test.ts
@@ -16,9 +16,9 @@
   assert.equal(cellSplit.parseCellService('a/b/3'), 'a/b');
 });
 
-test('one server more moves no other one', () => {
-  // A backend server is added. Were servers numbered through, most would change their
-  // cell, and each scheduler would begin with engines it knows nothing of.
+test('adding a server moves no other server', () => {
+  // Guards against an assignment by consecutive numbers: when a backend server is added, most
+  // servers would move to another cell, whose scheduler knows nothing of their engines.
   const before = cellSplit.listCellNames('one', 120);
   const after = cellSplit.listCellNames('one', 121);
   assert.deepEqual(before, after);
@@ -28,7 +28,7 @@
   assert.deepEqual(moved, []);
 });
 
-test('one gateway less moves its cells only', () => {
+test('removing a gateway moves only the cells that it scheduled', () => {
   const gateways = Array.from({ length: 10 }, (_, index) => `10.0.0.${index}:1`);
   const cells = cellSplit.listCellNames('one', 600);
   cells.forEach((cell) => {
--- a/packages/core/src/scheduler/cell-split.ts
+++ b/packages/core/src/scheduler/cell-split.ts
@@ -1,56 +1,56 @@
 /**
- * How the backend servers of a service are split into cells, and who schedules one.
+ * Splits the backend servers of a service into cells and ranks the gateways that may schedule one.
  *
- * Both are worked out by every gateway from what it knows anyway, with rendezvous
- * hashing: one backend server or gateway more or less changes the place of few.
+ * Every gateway computes both from its own data by rendezvous hashing, without coordination. When
+ * a backend server or gateway is added or removed, few assignments change.
  */
 import * as rendezvous from '../shared/rendezvous.js';
 
 /**
- * Backend servers of a cell. The fewer cells a service has, the less is lost between
- * their queues. With more backend servers in one, its gateway would decide on more
- * requests than its processor bears.
+ * Target number of backend servers per cell. Fewer, larger cells waste less capacity on separate
+ * queues, but with more backend servers in a cell, its scheduling would need more processor time
+ * than one gateway has.
  */
-const CELL_SERVERS = 40;
-/** Stands between the service and the number in the name of a cell. */
+const SERVERS_PER_CELL = 40;
+/** Separates the service from the index in the name of a cell. */
 const SEPARATOR = '/';
 
-/** Counts the cells of a service. */
+/** Computes the number of cells of a service with the given number of backend servers. */
 export function countCells(servers: number): number {
-  return Math.max(Math.round(servers / CELL_SERVERS), 1);
+  return Math.max(Math.round(servers / SERVERS_PER_CELL), 1);
 }
 
-/** Names a cell. */
+/** Builds the name of a cell. */
 export function formatCellName(service: string, index: number): string {
   return `${service}${SEPARATOR}${index}`;
 }
 
-/** Gets the service that a cell is of. */
+/** Parses the service from the name of a cell. */
 export function parseCellService(cellName: string): string {
   return cellName.slice(0, cellName.lastIndexOf(SEPARATOR));
 }
 
-/** Lists the names of all cells of a service. */
+/** Lists the names of all cells of a service with the given number of backend servers. */
 export function listCellNames(service: string, servers: number): string[] {
   return Array.from({ length: countCells(servers) }, (_, index) => formatCellName(service, index));
 }
 
-/** Finds the cell that a backend server is in. */
+/** Finds the cell to which a backend server belongs. */
 export function findCell(cellNames: readonly string[], serverId: string): string {
   return cellNames.length === 1
     ? cellNames[0]
     : rendezvous.rankByRendezvous(serverId, cellNames)[0];
 }
 
-/** Gateways in the order in which they should schedule a cell. */
+/** The gateways that may schedule a cell, the preferred one first. */
 export type SchedulerOrder = readonly rendezvous.ScoredId[];
 
-/** Ranks gateways by who should schedule a cell, the first before the others. */
+/** Ranks the gateways that may schedule a cell, the preferred one first. */
 export function rankSchedulers(cellName: string, addresses: readonly string[]): SchedulerOrder {
   return rendezvous.rankScored(cellName, addresses);
 }
 
-/** Brings an order in line with gateways that have come, and others that have gone. */
+/** Updates a ranking for gateways that were added and others that are gone. */
 export function updateSchedulerOrder(
   cellName: string,
   order: SchedulerOrder,
--- a/packages/core/src/scheduler/cell.ts
+++ b/packages/core/src/scheduler/cell.ts
@@ -1,105 +1,114 @@
-/** The state of one cell: what waits for its backend servers, and what they have. */
+/** The state of one cell: its waiting requests, its gateways and its backend servers. */
 import type * as backendServerEntry from '../shared/backend-server-entry.js';
 import * as queueThroughput from '../shared/queue-throughput.js';
-import * as firstDelay from './first-delay.js';
+import * as addedLatency from './added-latency.js';
 import * as overload from '../shared/overload.js';
 import type * as rateLimit from './rate-limit.js';
 import type * as scheduledRequest from './scheduled-request.js';
 import * as serverHealth from './server-health.js';
 import * as waitQueue from './wait-queue.js';
 
-/** A place that was granted and that its gateway has not told of yet. */
-export type OpenGrant = { number: number; serverId: string; grantedMs: number };
+/** A granted slot that its gateway has not yet reported as used. */
+export type UnreportedGrant = { number: number; serverId: string; grantedMs: number };
 
-/** A place that a gateway is to be told of. */
+/** A granted slot of which a gateway is to be informed. */
 export type PlaceGrant = {
   number: number;
   serial: number;
   serverId: string;
   idleFirstMs: number;
-  /** What the store tells of the backend server, where that is news. */
+  /** Store entry of the backend server, if the gateway may not have read it yet. */
   entry: backendServerEntry.BackendServerEntry | undefined;
   isRateLimited: boolean;
 };
 
-/** What a gateway is to be told next. */
+/** What the next reply to a gateway contains. */
 export type PendingReply = {
-  /** Something has come from the gateway that it waits for an answer to. */
+  /** The gateway has sent a `ScheduleAsk` that has had no reply yet. */
   isDue: boolean;
+  /** Requests that were queued, by serial. */
   accepted: number[];
+  /** Requests that the gateway reports as waiting but the scheduler does not know, by serial. */
   unknown: number[];
   grants: PlaceGrant[];
   refusals: { serial: number; isOnArrival: boolean; retryAfterMs: number }[];
 };
 
-/** A gateway that asks for places. */
+/** A gateway that asks for slots in a cell. */
 export type CellAsker = {
+  /** Incarnation of the gateway process: changes when it restarts. */
   life: string;
   failureDomain: string;
+  /** Sequence number of its latest `ScheduleAsk`. */
   sequence: number;
+  /** When its latest `ScheduleAsk` arrived, milliseconds. */
   heardMs: number;
-  /** Its requests by backend server, as it last told. */
+  /** Its requests in flight by backend server, as it last reported. */
   inFlight: Map<string, number>;
-  /** Until when backend servers take nothing from it, by their ids, milliseconds. */
+  /** Until when backend servers accept nothing from it, by their ids, milliseconds. */
   backoffs: Map<string, number>;
-  /** Grants that it has not told of yet. */
-  openGrants: OpenGrant[];
-  /** Its requests that wait, by its number for them. */
+  /** Grants that it has not yet reported as used. */
+  unreportedGrants: UnreportedGrant[];
+  /** Its waiting requests, by serial. */
   requests: Map<number, scheduledRequest.ScheduledRequest>;
   reply: PendingReply;
 };
 
 export type Cell = {
   name: string;
-  /** When this gateway began to schedule it, milliseconds. */
+  /** When this gateway began to schedule the cell, milliseconds. */
   createdMs: number;
-  /** When an ask for it last came, milliseconds. */
-  askedMs: number;
-  loads: Map<string, serverHealth.ServerHealth>;
-  /** When requests were given to a backend server lately, by its id, milliseconds. */
+  /** When the latest `ScheduleAsk` for the cell arrived, milliseconds. */
+  lastAskMs: number;
+  /** Health of the backend servers, by id. */
+  healthByServer: Map<string, serverHealth.ServerHealth>;
+  /** Times of recent grants by backend server id, milliseconds. */
   starts: Map<string, number[]>;
-  /** Limits that backend servers have named, by id. */
+  /** Rate limits that backend servers have announced, by id. */
   rateLimits: rateLimit.RateLimits;
+  /** The gateways that ask for slots, by address. */
   askers: Map<string, CellAsker>;
   queue: waitQueue.WaitQueue;
+  /** The requests in the queue, by id. */
   requests: Map<number, scheduledRequest.ScheduledRequest>;
   nextId: number;
-  /** How fast all requests go, and those of each rank of the queue. */
-  drain: queueThroughput.QueueThroughput;
-  drainByRank: Map<number, queueThroughput.QueueThroughput>;
+  /** Throughput of the whole queue. */
+  throughput: queueThroughput.QueueThroughput;
+  /** Throughput of each rank of the queue. */
+  throughputByRank: Map<number, queueThroughput.QueueThroughput>;
   overload: overload.Overload;
-  /** Seen at all its backend servers. */
-  firstDelay: firstDelay.FirstDelay;
+  /** Measured across all backend servers of the cell. */
+  addedLatency: addedLatency.AddedLatency;
 };
 
-/** Creates a cell in which nothing waits. */
+/** Creates a cell without requests. */
 export function createCell(name: string, now: number): Cell {
   return {
     name,
     createdMs: now,
-    askedMs: now,
-    loads: new Map(),
+    lastAskMs: now,
+    healthByServer: new Map(),
     starts: new Map(),
     rateLimits: new Map(),
     askers: new Map(),
     queue: waitQueue.createWaitQueue(),
     requests: new Map(),
     nextId: 1,
-    drain: queueThroughput.createQueueThroughput(),
-    drainByRank: new Map(),
+    throughput: queueThroughput.createQueueThroughput(),
+    throughputByRank: new Map(),
     overload: overload.createOverload(),
-    firstDelay: firstDelay.createFirstDelay(),
+    addedLatency: addedLatency.createAddedLatency(),
   };
 }
 
-/** Gets what is known of a backend server, made where there is nothing. */
+/** Returns the health of a backend server; creates it if there is none. */
 export function getServerHealth(cell: Cell, serverId: string): serverHealth.ServerHealth {
-  const load = cell.loads.get(serverId) ?? serverHealth.createServerLoad();
-  cell.loads.set(serverId, load);
-  return load;
+  const health = cell.healthByServer.get(serverId) ?? serverHealth.createServerHealth();
+  cell.healthByServer.set(serverId, health);
+  return health;
 }
 
-/** Makes an empty reply. */
-export function makeReply(): PendingReply {
+/** Creates an empty reply. */
+export function createPendingReply(): PendingReply {
   return { isDue: false, accepted: [], unknown: [], grants: [], refusals: [] };
 }
--- a/packages/core/src/scheduler/engine-pace.ts
+++ b/packages/core/src/scheduler/engine-pace.ts
@@ -1,13 +1,13 @@
 /**
- * How fast each backend server works, as this gateway sees it.
+ * Measures the speed of each backend server.
  *
- * Engines of one service differ several times over in speed and their own
- * reports lag. The time between the events of their streams (for a plain
- * service, the time of an answer) tells the speed at once and costs nothing.
+ * The engines of a service differ in speed by a factor of several, and the speed that they report
+ * lags behind. The time between the events of a stream (for a plain service, the duration of a
+ * response) shows the speed immediately and costs nothing to measure.
  */
 
-export type Pace = {
-  /** Recent time of one unit of work, milliseconds; 0 while none was seen. */
+export type EnginePace = {
+  /** Moving average of the time per unit of work, milliseconds; 0 before the first sample. */
   unitMs: number;
   samples: number;
   updatedMs: number;
@@ -15,35 +15,35 @@
 
 /** Weight of a new sample; a change of speed shows after three to four streams. */
 const SAMPLE_WEIGHT = 0.25;
-/** Time in which what was seen fades to 1/e, so that a slow one is tried again, ms. */
-const FADE_MS = 20_000;
-/** Slowness that is assumed of a backend server not seen yet. */
-const UNSEEN_SLOWNESS = 1.2;
+/** Time in which measured slowness decays to 1/e, so that a slow server is tried again, ms. */
+const DECAY_TIME_MS = 20_000;
+/** Slowness assumed for a backend server without samples. */
+const DEFAULT_SLOWNESS = 1.2;
 
-/** Creates the pace of a backend server that was not seen yet. */
-export function createPace(): Pace {
+/** Creates the record of a backend server without samples. */
+export function createPace(): EnginePace {
   return { unitMs: 0, samples: 0, updatedMs: 0 };
 }
 
-/** Takes in the time of one unit of work, milliseconds. */
-export function recordUnit(pace: Pace, unitMs: number, now: number): void {
+/** Records the time of one unit of work, milliseconds. */
+export function recordUnitTime(pace: EnginePace, unitMs: number, now: number): void {
   pace.samples += 1;
   pace.updatedMs = now;
   const weight = Math.max(SAMPLE_WEIGHT, 1 / pace.samples);
   pace.unitMs += weight * (unitMs - pace.unitMs);
 }
 
-/** Finds the shortest unit among backend servers of a service; 0 where none was seen. */
-export function findFastest(paces: readonly Pace[]): number {
-  const seen = paces.filter((pace) => pace.samples > 0).map((pace) => pace.unitMs);
-  return seen.length === 0 ? 0 : Math.min(...seen);
+/** Finds the shortest time per unit of work, milliseconds; 0 if there are no samples. */
+export function findShortestUnitMs(paces: readonly EnginePace[]): number {
+  const measured = paces.filter((pace) => pace.samples > 0).map((pace) => pace.unitMs);
+  return measured.length === 0 ? 0 : Math.min(...measured);
 }
 
-/** Estimates how many times slower a backend server is than the fastest; 1 at least. */
-export function estimateSlowness(pace: Pace, fastestMs: number, now: number): number {
+/** Estimates the time per unit of work relative to the fastest backend server; at least 1. */
+export function estimateSlowness(pace: EnginePace, fastestMs: number, now: number): number {
   if (pace.samples === 0 || fastestMs <= 0) {
-    return UNSEEN_SLOWNESS;
+    return DEFAULT_SLOWNESS;
   }
-  const kept = Math.exp(-Math.max(now - pace.updatedMs, 0) / FADE_MS);
-  return 1 + Math.max(pace.unitMs / fastestMs - 1, 0) * kept;
+  const decay = Math.exp(-Math.max(now - pace.updatedMs, 0) / DECAY_TIME_MS);
+  return 1 + Math.max(pace.unitMs / fastestMs - 1, 0) * decay;
 }
--- a/packages/core/src/scheduler/index.ts
+++ b/packages/core/src/scheduler/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of a scheduler: which waiting requests of a cell get which places. */
+/** Scheduling: assigns the waiting requests of a cell to slots at its backend servers. */
 export * from './cell.js';
 export * from './cell-split.js';
 export * from './places.js';
--- a/packages/core/src/scheduler/mocks/scheduler-bench.ts
+++ b/packages/core/src/scheduler/mocks/scheduler-fixture.ts
@@ -1,8 +1,8 @@
-/** What tests of a scheduler hand to it. */
+/** Builders of scheduler inputs for tests. */
 import type * as backendServerEntry from '../../shared/backend-server-entry.js';
 import type * as candidates from '../candidates.js';
 
-/** Builds what is known of some backend servers, all of them warm. */
+/** Describes the given backend servers as those of a cell, all of them warm. */
 export function buildServers(
   entries: readonly backendServerEntry.BackendServerEntry[],
   changes: Partial<candidates.CellServers> = {},
--- a/packages/core/src/scheduler/place-count.ts
+++ b/packages/core/src/scheduler/place-count.ts
@@ -1,12 +1,15 @@
-/** The places of a cell, as its scheduler may give them out. */
+/** Counts how many slots of a cell its scheduler may grant. */
 import * as candidates from './candidates.js';
 import type * as cells from './cell.js';
 import * as places from './places.js';
 
 /**
- * Counts the places of a cell and those that are taken.
+ * Counts all slots of a cell, those that may be granted, and those in use.
  *
- * @param address of the gateway that schedules
+ * Right after a takeover only part of the slots may be granted if other gateways could have
+ * requests in flight that this one has not been told about.
+ *
+ * @param address address of the gateway that runs this scheduler
  */
 export function countPlaces(
   address: string,
@@ -17,9 +20,11 @@
   const { placeShare, hasPeers } = servers;
   const takenByServer = places.countTaken(cell);
   const all = candidates.countPlaces(cell, servers, takenByServer, now);
-  const isCareful = hasPeers || [...cell.askers.keys()].some((one) => one !== address);
+  const mayMissInFlight = hasPeers || [...cell.askers.keys()].some((one) => one !== address);
   const share =
-    isCareful && places.isNew(cell, now) ? Math.min(placeShare, places.TAKEOVER_SHARE) : placeShare;
+    mayMissInFlight && places.isTakingOver(cell, now)
+      ? Math.min(placeShare, places.TAKEOVER_SHARE)
+      : placeShare;
   const taken = [...takenByServer.values()].reduce((sum, one) => sum + one, 0);
   return { all, usable: Math.ceil(all * share), taken, takenByServer };
 }
--- a/packages/core/src/scheduler/places.ts
+++ b/packages/core/src/scheduler/places.ts
@@ -1,29 +1,31 @@
 /**
- * How many places of a cell are taken.
+ * Counts the slots in use in a cell. A slot is one request's share of a backend server's
+ * concurrency; names in the code and in messages call it a place.
  *
- * Each ask tells all that its gateway has in flight, so that a lost datagram mends
- * itself. Grants that the gateway has not told of yet count besides, until they have
- * run out: it then uses them no more.
+ * Every `ScheduleAsk` reports all requests that its gateway has in flight, so the next one makes
+ * up for a lost datagram. A grant that the gateway has not yet reported as used also counts as
+ * in use until it expires, because the gateway does not use it after that.
  */
 import type * as cells from './cell.js';
 
 /**
- * A grant that nobody tells of is over after this time, milliseconds. A gateway uses
- * grants for `GRANT_USE_MS` after it sent the ask that they answer; the rest covers
- * its datagram on the way.
+ * An unreported grant expires after this time, milliseconds. A gateway may use a grant for
+ * `GRANT_USE_MS` after it sent the corresponding `ScheduleAsk`; the remainder allows for the
+ * delay of the datagram that reports it.
  */
-const GRANT_MS = 600;
-/** How long a gateway may use a grant, from the sending of the ask on, milliseconds. */
+const GRANT_EXPIRY_MS = 600;
+/** How long a gateway may use a grant after sending its `ScheduleAsk`, milliseconds. */
 export const GRANT_USE_MS = 400;
 /**
- * A scheduler that takes a cell over learns what is in flight as gateways ask it, which
- * all that have something do within this time, milliseconds. Until then it gives out
- * a part of the places: with all of them, engines would get twice what they work on.
+ * A scheduler that takes over a cell learns what is in flight from the `ScheduleAsk` messages of
+ * the gateways. Every gateway with requests in flight sends one within this time, milliseconds.
+ * Until then the scheduler grants only `TAKEOVER_SHARE` of the slots. Granting all of them could
+ * give engines twice as many requests as they process at once.
  */
 const TAKEOVER_MS = 250;
 export const TAKEOVER_SHARE = 0.5;
 
-/** Places of a cell, those that may be used, and those that are taken. */
+/** The slots of a cell: all of them, those that may be granted, and those in use. */
 export type PlaceCount = {
   all: number;
   usable: number;
@@ -31,29 +33,31 @@
   takenByServer: Map<string, number>;
 };
 
-/** Adds to a count by name. */
+/** Adds an amount to the count stored under a name. */
 function addTo(counts: Map<string, number>, name: string, amount: number): void {
   counts.set(name, (counts.get(name) ?? 0) + amount);
 }
 
-/** Forgets grants that are over. */
+/** Removes expired grants. */
 export function expireGrants(cell: cells.Cell, now: number): void {
   cell.askers.forEach((asker) => {
-    asker.openGrants = asker.openGrants.filter(({ grantedMs }) => now - grantedMs <= GRANT_MS);
+    asker.unreportedGrants = asker.unreportedGrants.filter(
+      ({ grantedMs }) => now - grantedMs <= GRANT_EXPIRY_MS,
+    );
   });
 }
 
-/** Counts the requests at each backend server. */
+/** Counts the slots in use at each backend server. */
 export function countTaken(cell: cells.Cell): Map<string, number> {
   const taken = new Map<string, number>();
-  cell.askers.forEach(({ inFlight, openGrants }) => {
+  cell.askers.forEach(({ inFlight, unreportedGrants }) => {
     inFlight.forEach((requests, serverId) => addTo(taken, serverId, requests));
-    openGrants.forEach(({ serverId }) => addTo(taken, serverId, 1));
+    unreportedGrants.forEach(({ serverId }) => addTo(taken, serverId, 1));
   });
   return taken;
 }
 
-/** Tells whether this gateway has just begun to schedule a cell. */
-export function isNew(cell: cells.Cell, now: number): boolean {
+/** Reports whether this gateway took over a cell too recently to know all that is in flight. */
+export function isTakingOver(cell: cells.Cell, now: number): boolean {
   return now - cell.createdMs < TAKEOVER_MS;
 }
--- a/packages/core/src/scheduler/rate-limit.ts
+++ b/packages/core/src/scheduler/rate-limit.ts
@@ -1,94 +1,96 @@
 /**
- * How many requests a backend server that names a rate limit may be started with now.
+ * Enforces the rate limits that backend servers announce.
  *
- * A token bucket for each such backend server. Every gateway repeats what it was told with
- * each ask, so a scheduler that takes the cell over knows the limit before its first grant.
- * It begins with an empty bucket: the one before may have given a second's worth just now.
+ * There is one token bucket for each backend server with a limit. Gateways repeat the limits they
+ * know in every `ScheduleAsk`, so a scheduler that takes over a cell knows them before its first
+ * grant. It begins with an empty bucket because its predecessor may just have granted a second's
+ * worth of requests.
  */
 
-/** What gateways tell of one backend server's limit. */
-export type ToldLimit = {
+/** The limit of one backend server as reported by a gateway. */
+export type ReportedLimit = {
   serverId: string;
-  /** Requests a second from all gateways together; undefined once it is lifted. */
+  /** Requests per second from all gateways together; undefined once the limit is lifted. */
   perSecond: number | undefined;
-  /** When an answer said so, milliseconds. */
-  toldMs: number;
+  /** When a response of the backend server stated this, milliseconds. */
+  statedMs: number;
 };
 
 export type RateLimit = {
   perSecond: number | undefined;
-  toldMs: number;
-  /** Requests that could be started at a time, milliseconds. */
+  statedMs: number;
+  /** Requests that could be started at `creditUpdatedMs`; may include a fraction. */
   credit: number;
-  countedMs: number;
+  /** When `credit` was last computed, milliseconds. */
+  creditUpdatedMs: number;
 };
 
-/** By the id of the backend server. */
+/** Limits by backend server id. */
 export type RateLimits = Map<string, RateLimit>;
 
 const MS_PER_SECOND = 1000;
 /**
- * Requests a second that a limited backend server is given at least. Only its answers tell
- * that the limit is lifted.
+ * Minimum rate granted to a limited backend server, requests per second. The scheduler needs
+ * responses from it to learn that the limit was lifted.
  */
-const LEAST_PER_SECOND = 0.2;
-/** What may be started at once after a pause, as seconds of the limit. */
+const MIN_PER_SECOND = 0.2;
+/** Size of the bucket, in seconds at the limit. */
 const BURST_S = 1;
 
-/** Takes in what a gateway tells; what another one was told later goes first. */
-export function applyTold(
+/** Applies a limit reported by a gateway, unless a more recent statement is known. */
+export function applyReportedLimit(
   limits: RateLimits,
-  { serverId, perSecond, toldMs }: ToldLimit,
+  { serverId, perSecond, statedMs }: ReportedLimit,
   now: number,
 ): void {
   const known = limits.get(serverId);
   if (known === undefined) {
-    limits.set(serverId, { perSecond, toldMs, credit: 0, countedMs: now });
-  } else if (toldMs > known.toldMs) {
+    limits.set(serverId, { perSecond, statedMs, credit: 0, creditUpdatedMs: now });
+  } else if (statedMs > known.statedMs) {
     known.perSecond = perSecond;
-    known.toldMs = toldMs;
+    known.statedMs = statedMs;
   }
 }
 
-/** Tells whether a backend server may only be given requests at a rate. */
+/** Reports whether a rate limit is in effect. */
 export function isLimited(
   limit: RateLimit | undefined,
 ): limit is RateLimit & { perSecond: number } {
   return limit?.perSecond !== undefined;
 }
 
-/** Computes the requests that could be started now, parts of one included. */
+/** Computes the requests that could be started now, including a fraction of one. */
 function computeCredit(
-  { credit, countedMs }: RateLimit,
+  { credit, creditUpdatedMs }: RateLimit,
   perSecond: number,
-  heardShare: number,
+  reachableShare: number,
   now: number,
 ): number {
-  const rate = Math.max(perSecond * heardShare, LEAST_PER_SECOND);
+  const rate = Math.max(perSecond * reachableShare, MIN_PER_SECOND);
   const most = Math.max(rate * BURST_S, 1);
-  return Math.min(credit + (rate * (now - countedMs)) / MS_PER_SECOND, most);
+  return Math.min(credit + (rate * (now - creditUpdatedMs)) / MS_PER_SECOND, most);
 }
 
 /**
- * Counts the requests that a backend server may be started with now.
+ * Counts the requests that may be started at a backend server now.
  *
- * @param heardShare part of the gateways that are heard, 0 to 1: where the others ask a
- *   scheduler of their own, each uses its part of the limit
+ * @param reachableShare share of the gateways that are reachable, 0 to 1. The others may be using a
+ *   scheduler of their own, so each scheduler uses only its share of the limit.
  */
 export function countStartsLeft(
   limit: RateLimit | undefined,
-  heardShare: number,
+  reachableShare: number,
   now: number,
 ): number {
   return isLimited(limit)
-    ? Math.floor(computeCredit(limit, limit.perSecond, heardShare, now))
+    ? Math.floor(computeCredit(limit, limit.perSecond, reachableShare, now))
     : Infinity;
 }
 
-/** Notes that a request is given to a backend server. */
-export function noteStart(limit: RateLimit | undefined, heardShare: number, now: number): void {
+/** Deducts one granted request from the bucket of a backend server. */
+export function noteStart(limit: RateLimit | undefined, reachableShare: number, now: number): void {
   if (isLimited(limit)) {
-    limit.credit = computeCredit(limit, limit.perSecond, heardShare, now) - 1;
-    limit.countedMs = now;
+    limit.credit = computeCredit(limit, limit.perSecond, reachableShare, now) - 1;
+    limit.creditUpdatedMs = now;
   }
 }
--- a/packages/core/src/scheduler/replies.ts
+++ b/packages/core/src/scheduler/replies.ts
@@ -1,4 +1,4 @@
-/** What the scheduler of a cell tells the gateways that ask it. */
+/** Builds the replies of a scheduler to the gateways that ask for slots. */
 import * as schema from '@toucanproxy/schema';
 import type * as candidates from './candidates.js';
 import type * as cells from './cell.js';
@@ -6,29 +6,30 @@
 import type * as places from './places.js';
 import type * as schedulers from './scheduler.js';
 
-/** A reply and the gateway that it is for. */
+/** A reply and the address of the gateway to which it is sent. */
 export type AddressedReply = { to: string; reply: schema.ScheduleReply };
 
-/** Entries of each kind in one reply, so that it fits one datagram of 1,400 bytes. */
+/** Maximum number of items of each kind in a reply, so that it fits a datagram of 1,400 bytes. */
 const MAX_ENTRIES = 16;
-/** Grants in one reply; each may carry the entry of its backend server. */
+/** Maximum number of grants in a reply; lower, as each may carry a backend server entry. */
 const MAX_GRANTS = 8;
-/** Takes the first entries of a list off it. */
+
+/** Removes and returns the first items of a list, at most as many as fit a reply. */
 function takeFirst<T>(list: T[]): T[] {
   return list.splice(0, MAX_ENTRIES);
 }
 
-/** Takes the first grants off a list. */
+/** Removes the first grants of a list and returns them as messages. */
 function takeGrants(grants: cells.PlaceGrant[]): schema.PlaceGrant[] {
   return grants.splice(0, MAX_GRANTS).map((grant) => schema.create(schema.PlaceGrantSchema, grant));
 }
 
-/** Tells whether there is something to tell. */
+/** Reports whether a reply has content besides the counts of the cell. */
 function hasContent({ accepted, unknown, grants, refusals }: cells.PendingReply): boolean {
   return accepted.length + unknown.length + grants.length + refusals.length > 0;
 }
 
-/** Builds the replies for one gateway; several where one would be too large. */
+/** Builds the replies to one gateway; several if one would be too large. */
 function buildReplies(
   { address, life }: schedulers.Scheduler,
   cell: cells.Cell,
@@ -58,19 +59,19 @@
   return replies;
 }
 
-/** Collects what the gateways are to be told. */
+/** Collects the replies that are due to the gateways. */
 export function collectReplies(
   scheduler: schedulers.Scheduler,
   findServers: (cellName: string) => candidates.CellServers,
   now: number,
 ): AddressedReply[] {
   return [...scheduler.cells.values()].flatMap((cell) => {
-    const waiters = [...cell.askers].filter(([, { reply }]) => reply.isDue || hasContent(reply));
-    if (waiters.length === 0) {
+    const recipients = [...cell.askers].filter(([, { reply }]) => reply.isDue || hasContent(reply));
+    if (recipients.length === 0) {
       return [];
     }
     const count = placeCount.countPlaces(scheduler.address, cell, findServers(cell.name), now);
-    return waiters.flatMap(([to, asker]) =>
+    return recipients.flatMap(([to, asker]) =>
       buildReplies(scheduler, cell, asker, count).map((reply) => ({ to, reply })),
     );
   });
--- a/packages/core/src/scheduler/request-match.ts
+++ b/packages/core/src/scheduler/request-match.ts
@@ -1,11 +1,10 @@
 /**
- * Which waiting request gets which open place.
+ * Matches waiting requests with free slots.
  *
- * Requests are looked at in the order of the queue, twice: first for one that
- * will be on time at an open place, then for any. Load pattern: all engines are
- * full and callers wait for tenths of a second. The first in line often has too
- * little time left at the engine that has a place; sent there it comes late, and
- * the next one, which had the time, comes late as well.
+ * The queue is searched twice in order: first for a request that will be on time at a free slot,
+ * then for any request. When all engines are full and callers wait for tenths of a second, the
+ * first request often has too little time left for the engine whose slot becomes free. If it were
+ * sent there, it would be late, and so would the next one, which still had enough time.
  */
 import type * as cells from './cell.js';
 import type * as scheduledRequest from './scheduled-request.js';
@@ -18,7 +17,7 @@
   chosen: serverChoice.Candidate;
 };
 
-/** What the search for a match looks at. */
+/** Input of the search for a match. */
 export type MatchSearch = {
   cell: cells.Cell;
   candidates: readonly serverChoice.Candidate[];
@@ -29,28 +28,28 @@
 
 type OpenSearch = MatchSearch & { open: readonly serverChoice.Candidate[] };
 
-/** Waiting requests that are looked at for one place; bounds the work of a burst. */
+/** Number of waiting requests considered for one slot; bounds the work during a burst. */
 const MAX_LOOK_AHEAD = 32;
 
 /**
- * Tells whether a request would be on time at a backend server: its first event
- * before its target, its last one before its time is over. Load pattern: an answer
- * of 45 events within 3 s, which a fast engine ends in one second and a slow one
- * in four; cut at the end, all its work is lost.
+ * Reports whether a request would be on time at a backend server: its first event by its target,
+ * and its last one by its deadline. For example, a response of 45 events with a deadline of 3 s
+ * takes a fast engine one second and a slow one four. If it is aborted at the deadline, all its
+ * work is lost.
  */
 function isInTime(
   { tokensPerEvent, now }: MatchSearch,
   request: scheduledRequest.ScheduledRequest,
   candidate: serverChoice.Candidate,
 ): boolean {
-  const idleMs = waiting.estimateFirstMs(request) * candidate.slowness;
-  const firstMs = now + idleMs + candidate.firstExtraMs;
+  const idleMs = waiting.estimateIdleFirstMs(request) * candidate.slowness;
+  const firstMs = now + idleMs + candidate.addedLatencyMs;
   const endMs = firstMs + (request.answerTokens / tokensPerEvent) * candidate.unitMs;
   return firstMs <= request.targetMs && endMs <= request.giveUpMs;
 }
 
-/** Lists the backend servers that take something from a gateway now. */
-function listTaking(
+/** Lists the backend servers that have not asked this gateway to back off. */
+function listAccepting(
   { cell, now }: MatchSearch,
   all: readonly serverChoice.Candidate[],
   asker: string,
@@ -61,20 +60,20 @@
     : all.filter(({ id }) => (backoffs.get(id) ?? 0) <= now);
 }
 
-/** Lists the backend servers that a request may go to. */
+/** Lists the backend servers to which a request may be sent. */
 function listAllowed(
   search: MatchSearch,
   all: readonly serverChoice.Candidate[],
   { asker, excludedDomains }: scheduledRequest.ScheduledRequest,
 ): readonly serverChoice.Candidate[] {
-  const taking = listTaking(search, all, asker);
+  const accepting = listAccepting(search, all, asker);
   return excludedDomains.size === 0
-    ? taking
-    : taking.filter(({ failureDomain }) => !excludedDomains.has(failureDomain));
+    ? accepting
+    : accepting.filter(({ failureDomain }) => !excludedDomains.has(failureDomain));
 }
 
-/** Lists the open places of a request; those that failed it only where there are no others. */
-function listPlaces(
+/** Lists the allowed servers with a free slot; already tried ones only if there are no others. */
+function listOpenServers(
   search: OpenSearch,
   request: scheduledRequest.ScheduledRequest,
 ): readonly serverChoice.Candidate[] {
@@ -83,22 +82,23 @@
   return untried.length > 0 ? untried : allowed;
 }
 
-/** Chooses a place at which a request is on time. */
+/** Chooses a backend server at which a request would be on time. */
 function chooseInTime(
   search: OpenSearch,
   request: scheduledRequest.ScheduledRequest,
 ): serverChoice.Candidate | undefined {
-  const inTime = listPlaces(search, request).filter((one) => isInTime(search, request, one));
+  const inTime = listOpenServers(search, request).filter((one) => isInTime(search, request, one));
   return serverChoice.chooseServer(inTime, request.failureDomain, search.drawRandom);
 }
 
 /**
- * Chooses any place for a request that is on time at none of the open ones.
+ * Chooses a backend server for a request that would not be on time at any free slot.
  *
- * It leaves them to others while a backend server that is full now would have it
- * on time. Load pattern: the fast engines are full, and a long prompt takes a
- * second at a slow one, where ten short ones would be on time. One with a rate limit does
- * not count: it takes one of many that wait, and the others would be late for nothing.
+ * The request continues to wait while it could still be on time at a backend server that is full
+ * now. For example, the fast engines are full, and a long prompt would occupy a slow one for a
+ * second in which ten short ones could be on time. Backend servers with a rate limit are not worth
+ * waiting for: each takes only one of the many waiting requests, and the others would become late
+ * for no benefit.
  */
 function chooseAny(
   search: OpenSearch,
@@ -108,32 +108,33 @@
   return listAllowed(search, unlimited, request).some((one) => isInTime(search, request, one))
     ? undefined
     : serverChoice.chooseServer(
-        listPlaces(search, request),
+        listOpenServers(search, request),
         request.failureDomain,
         search.drawRandom,
       );
 }
 
 /**
- * Lists the waiting requests that are looked at. Those of gateways that no open backend server
- * takes anything from are left out: a few dozen of them in front would keep all others waiting.
+ * Lists the waiting requests to consider. Requests of gateways from which no free backend server
+ * accepts anything are skipped: a few dozen of them at the head of the queue would block all
+ * others.
  */
-function listLookedAt(search: OpenSearch): scheduledRequest.ScheduledRequest[] {
+function listConsidered(search: OpenSearch): scheduledRequest.ScheduledRequest[] {
   const { cell, open } = search;
-  const stuck = new Set(
-    [...cell.askers.keys()].filter((asker) => listTaking(search, open, asker).length === 0),
+  const blockedAskers = new Set(
+    [...cell.askers.keys()].filter((asker) => listAccepting(search, open, asker).length === 0),
   );
   const { items } = cell.queue;
-  const isMovable = ({ serial }: waitQueue.WaitItem) =>
-    !stuck.has(cell.requests.get(serial)?.asker ?? '');
-  const movable = stuck.size === 0 ? items : items.filter(isMovable);
-  return movable
+  const isPlaceable = ({ serial }: waitQueue.WaitItem) =>
+    !blockedAskers.has(cell.requests.get(serial)?.asker ?? '');
+  const placeable = blockedAskers.size === 0 ? items : items.filter(isPlaceable);
+  return placeable
     .slice(0, MAX_LOOK_AHEAD)
     .map(({ serial }) => cell.requests.get(serial))
     .filter((request) => request !== undefined);
 }
 
-/** Finds the first waiting request of a cell that gets a place. */
+/** Finds the next waiting request of a cell to send, and its backend server. */
 export function findNextMatch(search: MatchSearch): Match | undefined {
   const { cell } = search;
   const open = search.candidates.filter((one) => serverChoice.hasPlace(one));
@@ -141,7 +142,7 @@
     return undefined;
   }
   const openSearch = { ...search, open };
-  const requests = listLookedAt(openSearch);
+  const requests = listConsidered(openSearch);
   let match: Match | undefined;
   [chooseInTime, chooseAny].some((choose) =>
     requests.some((request) => {
--- a/packages/core/src/scheduler/scheduled-request.ts
+++ b/packages/core/src/scheduler/scheduled-request.ts
@@ -1,36 +1,37 @@
-/** A request that waits for a place at a backend server, as its scheduler knows it. */
+/** A request that waits for a slot at a backend server, as the scheduler sees it. */
 
 export type ScheduledRequest = {
   /** Unique in its cell. */
   id: number;
-  /** Address of the gateway that has the caller, and that gateway's number for it. */
+  /** Address of the gateway that holds the caller's connection. */
   asker: string;
+  /** Identifies the request at that gateway. */
   serial: number;
-  /** The caller's name for this try, for the log. */
+  /** The caller's id for this attempt; used in logs only. */
   attemptId: string;
   workspace: string;
-  /** Failure domain of the gateway that has the caller. */
+  /** Failure domain of that gateway. */
   failureDomain: string;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   urgency: number;
-  /** Beyond the declared quota of its workspace; only the tolerance lets it in. */
+  /** Exceeds the declared quota of its workspace and was admitted only by the quota tolerance. */
   isBeyondQuota: boolean;
-  /** Estimated work, tokens. */
+  /** Estimated work, in tokens. */
   workTokens: number;
   promptTokens: number;
-  /** Tokens of the answer, as far as its caller guessed them. */
+  /** Length of the response in tokens, as estimated by the caller. */
   answerTokens: number;
   arrivedMs: number;
-  /** Its caller has been trying for longer than its target. */
+  /** The caller has missed its target: it has been retrying for longer than that. */
   isBelated: boolean;
-  /** After this time its first byte comes late. */
+  /** The first byte is late if it arrives after this time. */
   targetMs: number;
-  /** Its caller leaves where no part of an answer has come by this time. */
+  /** The caller disconnects if it has received no part of the response by this time. */
   leaveMs: number;
-  /** It gets its final answer by this time. */
+  /** Deadline for the complete response. */
   giveUpMs: number;
-  /** Backend servers that did not take it, or failed it. */
+  /** Backend servers that rejected or failed an earlier attempt of this request. */
   triedIds: ReadonlySet<string>;
-  /** Failure domains that its gateway does not send it to. */
+  /** Failure domains to which its gateway does not send the request. */
   excludedDomains: ReadonlySet<string>;
 };
--- a/packages/core/src/scheduler/scheduler.ts
+++ b/packages/core/src/scheduler/scheduler.ts
@@ -1,4 +1,4 @@
-/** The scheduler: which waiting requests of its cells get which places. */
+/** The scheduler: grants slots to the waiting requests of its cells. */
 import type * as schema from '@toucanproxy/schema';
 import * as asks from './asks.js';
 import * as candidates from './candidates.js';
@@ -12,40 +12,44 @@
 import * as waiting from './waiting.js';
 import * as warmUp from './warm-up.js';
 
-/** A decision, for the log. */
+/** A scheduling decision, for the log. */
 export type SchedulingDecision = {
   kind: 'granted' | 'declined';
   cell: string;
   request: scheduledRequest.ScheduledRequest;
-  /** Requests that wait in the cell after it. */
+  /** Requests left in the queue of the cell after the decision. */
   queued: number;
-  /** The chosen backend server and the two next best; empty where there was none. */
+  /** The chosen backend server and up to two alternatives; empty if the request was declined. */
   weighed: readonly serverChoice.Candidate[];
-  /** Backend servers that were left out, those without a place, and those held back. */
+  /** Number of backend servers that were paused or ejected. */
   leftOut: number;
+  /** Number of backend servers whose slots were all in use. */
   full: number;
+  /** Number of backend servers held back by their warm-up or rate limit. */
   heldBack: number;
 };
 
 export type Scheduler = {
-  /** Address and life of the gateway that it is a part of. */
+  /** Address of the gateway that runs the scheduler. */
   address: string;
+  /** Incarnation of that gateway's process: changes when it restarts. */
   life: string;
   drawRandom: () => number;
+  /** Cells by name. */
   cells: Map<string, cells.Cell>;
-  /** Goes up with each grant, so that a later one is told from an earlier one. */
+  /** Number of the next grant; increases so that gateways can report the last one received. */
   nextGrant: number;
 };
 
-/** A cell that nobody has asked for this time is forgotten, milliseconds. */
+/** A cell is removed if no gateway has asked for slots in it for this time, milliseconds. */
 const IDLE_CELL_MS = 30_000;
 /**
- * A gateway that has been silent for this time is forgotten, with what it has in flight
- * and what waits for it, milliseconds. It tells of both four times a second; one that
- * was killed has lost them, and its places would stand empty.
+ * A gateway from which nothing was received for this time is removed together with its waiting
+ * requests and those in flight, milliseconds. A running gateway reports both four times per second;
+ * one that was killed has lost them, and its slots would remain unused.
  */
-const SILENT_MS = 1200;
-/** Backend servers named in a note. */
+const ASKER_TIMEOUT_MS = 1200;
+/** Maximum number of backend servers listed in a decision. */
 const MAX_WEIGHED = 3;
 const NOTHING_WEIGHED = { weighed: [], leftOut: 0, full: 0, heldBack: 0 };
 
@@ -58,43 +62,43 @@
   return { address, life, drawRandom, cells: new Map(), nextGrant: 1 };
 }
 
-/** Gets a cell, made where there is none. */
+/** Returns a cell; creates it if there is none. */
 function getCell(scheduler: Scheduler, name: string, now: number): cells.Cell {
   const cell = scheduler.cells.get(name) ?? cells.createCell(name, now);
   scheduler.cells.set(name, cell);
   return cell;
 }
 
-/** Takes in an ask of a gateway, this one included. */
+/** Handles a `ScheduleAsk` of any gateway, including this one. */
 export function receiveAsk(scheduler: Scheduler, ask: schema.ScheduleAsk, now: number): void {
   asks.receiveAsk(getCell(scheduler, ask.cell, now), ask, scheduler.drawRandom, now);
 }
 
-/** Tells whether requests wait for a place in a cell of this scheduler. */
+/** Reports whether requests wait for a slot in any cell of this scheduler. */
 export function hasQueuedRequests({ cells: all }: Scheduler): boolean {
   return [...all.values()].some(({ queue }) => queue.items.length > 0);
 }
 
-/** Forgets what was seen of a backend server that has restarted or gone. */
+/** Removes what is known of a backend server that has restarted or is gone. */
 export function forgetServer(scheduler: Scheduler, serverId: string): void {
   scheduler.cells.forEach((cell) => {
-    cell.loads.delete(serverId);
+    cell.healthByServer.delete(serverId);
     cell.starts.delete(serverId);
     cell.rateLimits.delete(serverId);
     cell.askers.forEach(({ backoffs }) => backoffs.delete(serverId));
   });
 }
 
-/** Gives a place to a request. */
+/** Grants a request a slot at the chosen backend server. */
 function grantPlace(
   scheduler: Scheduler,
   cell: cells.Cell,
   { request, chosen }: requestMatch.Match,
-  { recentEntries: news, reachableShare: heardShare }: candidates.CellServers,
+  { recentEntries, reachableShare }: candidates.CellServers,
   now: number,
 ): void {
   const limit = cell.rateLimits.get(chosen.id);
-  rateLimit.noteStart(limit, heardShare, now);
+  rateLimit.noteStart(limit, reachableShare, now);
   waiting.takeRequest(cell, request, now);
   cell.requests.delete(request.id);
   const asker = cell.askers.get(request.asker);
@@ -104,10 +108,10 @@
   asker.requests.delete(request.serial);
   const number = scheduler.nextGrant;
   scheduler.nextGrant += 1;
-  asker.openGrants.push({ number, serverId: chosen.id, grantedMs: now });
-  const idleFirstMs = waiting.estimateFirstMs(request) * chosen.slowness;
+  asker.unreportedGrants.push({ number, serverId: chosen.id, grantedMs: now });
+  const idleFirstMs = waiting.estimateIdleFirstMs(request) * chosen.slowness;
   const { serial } = request;
-  const entry = news.get(chosen.id);
+  const entry = recentEntries.get(chosen.id);
   const isRateLimited = rateLimit.isLimited(limit);
   asker.reply.grants.push({
     number,
@@ -119,7 +123,7 @@
   });
 }
 
-/** Lists the best candidates after the chosen one, for the log. */
+/** Lists the chosen candidate and the least loaded alternatives, for the log. */
 function listWeighed(
   all: readonly serverChoice.Candidate[],
   chosen: serverChoice.Candidate,
@@ -129,9 +133,13 @@
   return [chosen, ...others].slice(0, MAX_WEIGHED).map((one) => ({ ...one }));
 }
 
-/** Refuses the requests that would wait in vain. */
-function refuseSpent(scheduler: Scheduler, cell: cells.Cell, now: number): SchedulingDecision[] {
-  return waiting.updateLate(cell, now).map((request) => {
+/** Refuses the waiting requests that can no longer be served in time. */
+function refuseUnservable(
+  scheduler: Scheduler,
+  cell: cells.Cell,
+  now: number,
+): SchedulingDecision[] {
+  return waiting.updateLateRequests(cell, now).map((request) => {
     const asker = cell.askers.get(request.asker);
     cell.requests.delete(request.id);
     if (asker !== undefined) {
@@ -143,8 +151,8 @@
   });
 }
 
-/** Gives out the open places of a cell. */
-function grantOpen(
+/** Grants the free slots of a cell. */
+function grantOpenPlaces(
   scheduler: Scheduler,
   cell: cells.Cell,
   servers: candidates.CellServers,
@@ -159,12 +167,12 @@
   const isBounded = servers.warmUp !== undefined;
   const { drawRandom } = scheduler;
   const search = { cell, candidates: all, tokensPerEvent, drawRandom, now };
-  const notes: SchedulingDecision[] = [];
+  const decisions: SchedulingDecision[] = [];
   let { taken } = count;
   let match = taken < count.usable ? requestMatch.findNextMatch(search) : undefined;
   while (match !== undefined) {
     const { request, chosen } = match;
-    notes.push({
+    decisions.push({
       kind: 'granted',
       cell: cell.name,
       request,
@@ -183,13 +191,13 @@
     taken += 1;
     match = taken < count.usable ? requestMatch.findNextMatch(search) : undefined;
   }
-  return notes;
+  return decisions;
 }
 
-/** Forgets gateways that have been silent for long. */
+/** Removes gateways from which nothing was received for `ASKER_TIMEOUT_MS`. */
 function expireAskers(cell: cells.Cell, now: number): void {
   [...cell.askers]
-    .filter(([, { heardMs }]) => now - heardMs > SILENT_MS)
+    .filter(([, { heardMs }]) => now - heardMs > ASKER_TIMEOUT_MS)
     .forEach(([address, asker]) => {
       asks.dropRequests(cell, asker);
       cell.askers.delete(address);
@@ -197,9 +205,9 @@
 }
 
 /**
- * Decides in all cells, and gives what was decided for the log.
+ * Makes the scheduling decisions in all cells and returns them for the log.
  *
- * @param findServers gives what is known of the backend servers of a cell
+ * @param findServers returns what is known of the backend servers of a cell
  */
 export function scheduleRequests(
   scheduler: Scheduler,
@@ -207,14 +215,14 @@
   now: number,
 ): SchedulingDecision[] {
   return [...scheduler.cells.values()].flatMap((cell) => {
-    if (now - cell.askedMs > IDLE_CELL_MS) {
+    if (now - cell.lastAskMs > IDLE_CELL_MS) {
       scheduler.cells.delete(cell.name);
       return [];
     }
     expireAskers(cell, now);
     places.expireGrants(cell, now);
     warmUp.expireStarts(cell.starts, now);
-    const declined = refuseSpent(scheduler, cell, now);
-    return [...declined, ...grantOpen(scheduler, cell, findServers(cell.name), now)];
+    const declined = refuseUnservable(scheduler, cell, now);
+    return [...declined, ...grantOpenPlaces(scheduler, cell, findServers(cell.name), now)];
   });
 }
--- a/packages/core/src/scheduler/server-choice.test.ts
+++ b/packages/core/src/scheduler/server-choice.test.ts
@@ -5,7 +5,7 @@
 const { test } = nodeTest;
 const SLOTS = 9;
 
-/** Builds a candidate that is empty but for the given requests. */
+/** Builds an idle candidate with the given changes. */
 function buildCandidate(changes: Partial<serverChoice.Candidate> = {}): serverChoice.Candidate {
   return {
     id: 's',
@@ -16,18 +16,18 @@
     isRateLimited: false,
     slowness: 1,
     unitMs: 0,
-    firstExtraMs: 0,
+    addedLatencyMs: 0,
     failureShare: 0,
     ...changes,
   };
 }
 
-test('full with a request at each place', () => {
+test('server is full with a request in each slot', () => {
   assert.equal(serverChoice.hasPlace(buildCandidate({ inFlight: SLOTS - 1 })), true);
   assert.equal(serverChoice.hasPlace(buildCandidate({ inFlight: SLOTS })), false);
 });
 
-test('fast, sound and near go first', () => {
+test('fast, healthy and near servers are preferred', () => {
   const draw = () => 0.5;
   const choose = (...ones: Partial<serverChoice.Candidate>[]) =>
     serverChoice.chooseServer(ones.map(buildCandidate), 'd1', draw)?.id;
--- a/packages/core/src/scheduler/server-choice.ts
+++ b/packages/core/src/scheduler/server-choice.ts
@@ -1,46 +1,46 @@
 /**
- * Which backend server gets the next request, and which has room for one.
+ * Selects the backend server for a request.
  *
- * Engines know no urgency: what they queue runs in order of arrival. So no more
- * is sent to one than it works on at once, and the rest waits here in order of
- * urgency. A place is worth the more the faster its engine; the slow ones are
- * used when the fast ones are full.
+ * Engines have no notion of priority: they run what they queue in order of arrival. A backend
+ * server therefore gets no more requests than it processes concurrently, and the others wait in
+ * the scheduler in order of urgency. Faster engines are preferred; slow ones are used when the
+ * fast ones are full.
  */
 
 export type Candidate = {
   id: string;
   failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Requests that it processes concurrently. */
   slots: number;
-  /** Requests there, as the gateways last told, and places granted since. */
+  /** Requests in flight there as last reported by the gateways, and grants not yet reported. */
   inFlight: number;
-  /** Requests that it may be started with now; bounded while it warms up or is limited. */
+  /** Requests that may be started there now; bounded during warm-up or by its rate limit. */
   startsLeft: number;
-  /** It has named a rate limit. */
+  /** It has announced a rate limit. */
   isRateLimited: boolean;
-  /** Times slower than the fastest of its cell. */
+  /** Time per unit of work relative to the fastest backend server of the cell. */
   slowness: number;
-  /** Time of one unit of work, an event or an answer, milliseconds; 0 if unknown. */
+  /** Time per unit of work (an event or a complete response), milliseconds; 0 if unknown. */
   unitMs: number;
-  /** Time that a first event takes beyond that of an idle engine, milliseconds. */
-  firstExtraMs: number;
-  /** Recent share of failed answers, 0 to 1. */
+  /** Additional time to the first event compared with an idle engine, milliseconds. */
+  addedLatencyMs: number;
+  /** Share of recent responses that failed, 0 to 1. */
   failureShare: number;
 };
 
-/** How much a full backend server is slower than an empty one. */
+/** Relative slowdown of a full backend server compared with an idle one. */
 const LOAD_SLOWDOWN = 1;
-/** What a failed answer costs against one unit of slowness. */
+/** Cost of a failure share of 1, in units of slowness. */
 const FAILURE_COST = 6;
-/** Preference for the own failure domain; bytes between domains cost money. */
+/** Cost of a server in another failure domain; traffic between domains is billed. */
 const DISTANCE_COST = 0.1;
 
-/** Tells whether a backend server has a place. */
+/** Reports whether a backend server has a free slot that may be used now. */
 export function hasPlace({ slots, inFlight, startsLeft }: Candidate): boolean {
   return inFlight < slots && startsLeft > 0;
 }
 
-/** Estimates the cost of placing a request of a failure domain; the least wins. */
+/** Estimates the cost of placing a request from a failure domain; the lowest cost wins. */
 function estimateCost(candidate: Candidate, failureDomain: string): number {
   const load = candidate.inFlight / Math.max(candidate.slots, 1);
   return (
@@ -50,7 +50,7 @@
   );
 }
 
-/** Chooses the best of the candidates that have a place. */
+/** Chooses the candidate with the lowest cost; equal costs are decided at random. */
 export function chooseServer(
   candidates: readonly Candidate[],
   failureDomain: string,
--- a/packages/core/src/scheduler/server-health.ts
+++ b/packages/core/src/scheduler/server-health.ts
@@ -1,49 +1,51 @@
-/** What a scheduler is told of one backend server: its speed and its failures. */
+/** Health of one backend server: its speed and failures, as reported by the gateways. */
 import * as enginePace from './engine-pace.js';
-import * as firstDelay from './first-delay.js';
+import * as addedLatency from './added-latency.js';
 
 export type ServerHealth = {
-  pace: enginePace.Pace;
-  firstDelay: firstDelay.FirstDelay;
+  pace: enginePace.EnginePace;
+  addedLatency: addedLatency.AddedLatency;
   failuresInRow: number;
-  /** Gets no new work until this time, milliseconds; 0 if never. */
+  /** Receives no new requests until this time, milliseconds; 0 if it was never paused. */
   pausedUntilMs: number;
-  /** When it could not be reached last, milliseconds. */
+  /** When a gateway last failed to reach it, milliseconds; `-Infinity` if none did. */
   unreachableMs: number;
-  /** Recent answers, and those among them that failed; older ones fade. */
+  /** Number of responses; older ones count less. */
   answers: number;
+  /** Number of failed responses among them, decayed in the same way. */
   failures: number;
-  /** Ejected for its failures until this time, milliseconds; 0 if never. */
+  /** Ejected for its failures until this time, milliseconds; 0 if it was never ejected. */
   ejectedUntilMs: number;
+  /** Ejections since the last successful response. */
   ejections: number;
 };
 
-/** What is kept of earlier answers with each new one: the last twenty or so count. */
-const KEPT_SHARE = 0.95;
-/** First pause after a failure to connect, milliseconds; doubles with each one. */
+/** Decay of the counts with each response; about the last twenty responses matter. */
+const DECAY_FACTOR = 0.95;
+/** Pause after the first failure to connect, milliseconds; doubles with each further one. */
 const FIRST_PAUSE_MS = 250;
 /**
- * Longest pause, milliseconds. A backend server that crashed is back after some
- * seconds; the next try after that costs one connection.
+ * Longest pause, milliseconds. A crashed backend server is back after a few seconds, and a
+ * premature attempt costs only one connection.
  */
-export const LONGEST_PAUSE_MS = 2000;
+export const MAX_PAUSE_MS = 2000;
 
-/** A backend server is ejected where this share of its recent answers failed. */
-const EJECT_SHARE = 0.5;
+/** A backend server is ejected when at least this share of its recent responses failed. */
+const EJECTION_FAILURE_SHARE = 0.5;
 /**
- * Answers that must have been seen for that. Older ones count a little less, so that
- * the fourth failure in a row ejects; two or three may be chance.
+ * Minimum decayed number of responses for an ejection. Because older responses count slightly less
+ * than one, a fourth failure in a row is needed; two or three may be a coincidence.
  */
-const EJECT_ANSWERS = 3;
-/** First ejection, milliseconds; doubles with each failure after it. */
+const MIN_EJECTION_ANSWERS = 3;
+/** Duration of the first ejection, milliseconds; doubles with each further ejection. */
 const FIRST_EJECTION_MS = 500;
-const LONGEST_EJECTION_MS = 4000;
+const MAX_EJECTION_MS = 4000;
 
-/** Creates the load of a backend server that was not used yet. */
-export function createServerLoad(): ServerHealth {
+/** Creates the record of a backend server that has not been used yet. */
+export function createServerHealth(): ServerHealth {
   return {
     pace: enginePace.createPace(),
-    firstDelay: firstDelay.createFirstDelay(),
+    addedLatency: addedLatency.createAddedLatency(),
     failuresInRow: 0,
     pausedUntilMs: 0,
     unreachableMs: -Infinity,
@@ -54,62 +56,64 @@
   };
 }
 
-/** Takes in an answer that was the backend server's own. */
-export function recordAnswer(load: ServerHealth, good: boolean, now: number): void {
-  load.answers = KEPT_SHARE * load.answers + 1;
-  load.failures = KEPT_SHARE * load.failures + (good ? 0 : 1);
+/** Records a good or failed response that the backend server itself produced. */
+export function recordAnswer(health: ServerHealth, good: boolean, now: number): void {
+  health.answers = DECAY_FACTOR * health.answers + 1;
+  health.failures = DECAY_FACTOR * health.failures + (good ? 0 : 1);
   if (good) {
-    load.failuresInRow = 0;
-    load.ejections = 0;
+    health.failuresInRow = 0;
+    health.ejections = 0;
     return;
   }
-  const isFailing = computeFailureShare(load) >= EJECT_SHARE && load.answers >= EJECT_ANSWERS;
-  if (isFailing && now >= load.ejectedUntilMs) {
-    load.ejectedUntilMs =
-      now + Math.min(FIRST_EJECTION_MS * 2 ** load.ejections, LONGEST_EJECTION_MS);
-    load.ejections += 1;
+  const isFailing =
+    computeFailureShare(health) >= EJECTION_FAILURE_SHARE && health.answers >= MIN_EJECTION_ANSWERS;
+  if (isFailing && now >= health.ejectedUntilMs) {
+    health.ejectedUntilMs =
+      now + Math.min(FIRST_EJECTION_MS * 2 ** health.ejections, MAX_EJECTION_MS);
+    health.ejections += 1;
   }
 }
 
 /**
- * Tells whether a backend server is left out for its failures.
+ * Reports whether a backend server is excluded because of its failures.
  *
- * One that fails at once is always the emptiest and draws the work of all others
- * to it. After its ejection it gets one request at a time until one succeeds.
+ * A server that fails every request immediately always has the fewest requests in flight and
+ * would therefore attract the requests of all others. After the ejection ends it gets one request
+ * at a time until one succeeds.
  *
- * @param inFlight requests there
+ * @param inFlight requests in flight at the server
  */
-export function isEjected(load: ServerHealth, inFlight: number, now: number): boolean {
-  return now < load.ejectedUntilMs || (load.ejections > 0 && inFlight > 0);
+export function isEjected(health: ServerHealth, inFlight: number, now: number): boolean {
+  return now < health.ejectedUntilMs || (health.ejections > 0 && inFlight > 0);
 }
 
-/** Computes the recent share of answers that failed, 0 to 1. */
-export function computeFailureShare(load: ServerHealth): number {
-  return load.answers === 0 ? 0 : load.failures / load.answers;
+/** Computes the share of recent responses that failed, 0 to 1. */
+export function computeFailureShare(health: ServerHealth): number {
+  return health.answers === 0 ? 0 : health.failures / health.answers;
 }
 
 /**
- * Pauses a backend server that could not be reached, or broke off.
+ * Pauses a backend server that could not be reached or did not take a request.
  *
- * Without the pause each waiting request would be sent to it in turn, since an
- * empty backend server looks like the best choice.
+ * Without the pause every waiting request would be sent to it in turn, because an idle backend
+ * server looks like the best choice.
  */
-export function pauseServer(load: ServerHealth, now: number): void {
-  const pauseMs = Math.min(FIRST_PAUSE_MS * 2 ** load.failuresInRow, LONGEST_PAUSE_MS);
-  load.failuresInRow += 1;
-  load.pausedUntilMs = Math.max(load.pausedUntilMs, now + pauseMs);
+export function pauseServer(health: ServerHealth, now: number): void {
+  const pauseMs = Math.min(FIRST_PAUSE_MS * 2 ** health.failuresInRow, MAX_PAUSE_MS);
+  health.failuresInRow += 1;
+  health.pausedUntilMs = Math.max(health.pausedUntilMs, now + pauseMs);
 }
 
 /**
- * Notes that a backend server could not be reached. It may have crashed, and warm up
- * once it is back, which its entry tells seconds later.
+ * Records that a backend server could not be reached. It may have crashed and may need to warm up
+ * after its restart, which its store entry shows only seconds later.
  */
-export function noteUnreachable(load: ServerHealth, now: number): void {
-  load.unreachableMs = now;
-  pauseServer(load, now);
+export function noteUnreachable(health: ServerHealth, now: number): void {
+  health.unreachableMs = now;
+  pauseServer(health, now);
 }
 
-/** Tells whether a backend server is left out for now. */
-export function isPaused(load: ServerHealth, now: number): boolean {
-  return now < load.pausedUntilMs;
+/** Reports whether a backend server is paused. */
+export function isPaused(health: ServerHealth, now: number): boolean {
+  return now < health.pausedUntilMs;
 }
--- a/packages/core/src/scheduler/wait-queue.test.ts
+++ b/packages/core/src/scheduler/wait-queue.test.ts
@@ -4,7 +4,7 @@
 
 const { test } = nodeTest;
 
-/** Sends everything and lists the serials in order. */
+/** Takes all items from the queue and lists their serials in order. */
 function sendAll(queue: waitQueue.WaitQueue): number[] {
   const sent: number[] = [];
   while (queue.items.length > 0) {
@@ -15,7 +15,7 @@
   return sent;
 }
 
-/** Builds an item. */
+/** Builds an item that is due at the time of its serial. */
 function buildItem(serial: number, rank: number, workspace: string): waitQueue.WaitItem {
   return { serial, rank, workspace, workTokens: 100, enteredMs: 0, dueMs: serial };
 }
@@ -28,16 +28,16 @@
   assert.deepEqual(sendAll(queue), [2, 1, 3]);
 });
 
-test('loud workspace waits behind itself', () => {
-  // One workspace sends ten requests at once, another one after that. In order of
-  // arrival the second would wait for all ten.
+test('workspace with many requests delays mainly itself', () => {
+  // One workspace sends ten requests at once, then another sends one. In order of arrival, the
+  // second workspace would wait for all ten.
   const queue = waitQueue.createWaitQueue();
   Array.from({ length: 10 }, (_, index) => waitQueue.addItem(queue, buildItem(index, 0, 'loud')));
   waitQueue.addItem(queue, buildItem(100, 0, 'quiet'));
   assert.ok(sendAll(queue).indexOf(100) <= 1);
 });
 
-test('idle workspace saves up nothing', () => {
+test('idle workspace accumulates no credit', () => {
   const queue = waitQueue.createWaitQueue();
   Array.from({ length: 5 }, (_, index) => waitQueue.addItem(queue, buildItem(index, 0, 'a')));
   sendAll(queue);
@@ -70,7 +70,7 @@
   );
 });
 
-test('loud workspace is ahead of itself only', () => {
+test('backlog of a workspace is ahead of its own requests only', () => {
   const queue = waitQueue.createWaitQueue();
   [1, 2, 3].forEach((serial) => waitQueue.addItem(queue, buildItem(serial, 0, 'loud')));
   assert.deepEqual([...waitQueue.countTokensBefore(queue, 0, 'loud')], [[0, 300]]);
--- a/packages/core/src/scheduler/wait-queue.ts
+++ b/packages/core/src/scheduler/wait-queue.ts
@@ -1,49 +1,52 @@
 /**
- * What waits for a service, in the order in which it should be sent.
+ * A queue of waiting requests in the order in which they should be sent.
  *
- * First by rank, then by start-time fair queueing (Goyal, Vin and Cheng, 1996):
- * each workspace's work is numbered as if the service gave all of them equal
- * shares. A workspace that sends ten times as much waits behind itself.
+ * Items are ordered by rank, then by start-time fair queueing (Goyal, Vin and Cheng, 1996): start
+ * tags are assigned as if the service gave every workspace an equal share. A workspace that sends
+ * ten times as much therefore delays mainly its own requests.
  */
 
 export type WaitItem = {
   serial: number;
-  /** 0 goes first. */
+  /** Items of the lowest rank are sent first; 0 is the lowest. */
   rank: number;
   workspace: string;
   workTokens: number;
-  /** When it began to wait at this rank, milliseconds. */
+  /** When it was queued at this rank, milliseconds. */
   enteredMs: number;
-  /** When something is to be decided about it by time alone, milliseconds. */
+  /** When the item must be checked again even if nothing else happens, milliseconds. */
   dueMs: number;
 };
 
-type QueuedItem = WaitItem & { /** Start of its work in fair shares, tokens. */ startTag: number };
+type QueuedItem = WaitItem & {
+  /** Virtual time at which its work starts, tokens. */
+  startTag: number;
+};
 
 export type WaitQueue = {
-  /** In the order of sending. */
+  /** In the order in which they are sent. */
   items: QueuedItem[];
-  /** Start tag of the item that was sent last, by rank. */
-  virtualStart: Map<number, number>;
-  /** End of the last item of each workspace, by rank and workspace. */
+  /** Virtual time by rank: the highest start tag of an item that was sent. */
+  virtualTimes: Map<number, number>;
+  /** Virtual time at which the last item of a workspace ends, by rank and workspace. */
   finishTags: Map<string, number>;
 };
 
-/** Workspaces remembered while none of their requests waits; bounds the memory. */
+/** Number of finish tags above which all are discarded, to bound the memory. */
 const MAX_FINISH_TAGS = 4096;
 
 /** Creates an empty queue. */
 export function createWaitQueue(): WaitQueue {
-  return { items: [], virtualStart: new Map(), finishTags: new Map() };
+  return { items: [], virtualTimes: new Map(), finishTags: new Map() };
 }
 
-/** Tells whether an item goes before another. */
+/** Reports whether an item is sent before another. */
 function isBefore(a: QueuedItem, b: QueuedItem): boolean {
   return a.rank - b.rank < 0 || (a.rank === b.rank && a.startTag < b.startTag);
 }
 
-/** Finds the place of an item by halving. */
-function findPlace(items: readonly QueuedItem[], item: QueuedItem): number {
+/** Finds the index at which to insert an item, by binary search. */
+function findInsertionIndex(items: readonly QueuedItem[], item: QueuedItem): number {
   let low = 0;
   let high = items.length;
   while (low < high) {
@@ -57,18 +60,18 @@
   return low;
 }
 
-/** Builds the key of a workspace's finish tag. */
+/** Builds the map key of a workspace's finish tag. */
 function buildTagKey(rank: number, workspace: string): string {
   return `${rank} ${workspace}`;
 }
 
-/** Computes where the next work of a workspace begins in fair shares, tokens. */
+/** Computes the start tag of the next item of a workspace, tokens. */
 export function computeStartTag(queue: WaitQueue, rank: number, workspace: string): number {
-  const virtual = queue.virtualStart.get(rank) ?? 0;
+  const virtual = queue.virtualTimes.get(rank) ?? 0;
   return Math.max(virtual, queue.finishTags.get(buildTagKey(rank, workspace)) ?? 0);
 }
 
-/** Adds an item. */
+/** Adds an item and assigns its start tag. */
 export function addItem(queue: WaitQueue, item: WaitItem): void {
   if (queue.finishTags.size > MAX_FINISH_TAGS) {
     queue.finishTags.clear();
@@ -76,31 +79,31 @@
   const startTag = computeStartTag(queue, item.rank, item.workspace);
   queue.finishTags.set(buildTagKey(item.rank, item.workspace), startTag + item.workTokens);
   const queued = { ...item, startTag };
-  queue.items.splice(findPlace(queue.items, queued), 0, queued);
+  queue.items.splice(findInsertionIndex(queue.items, queued), 0, queued);
 }
 
-/** Removes an item that is not waiting any more; undefined where there is none. */
+/** Removes an item without sending it; returns undefined if it is not queued. */
 export function removeItem(queue: WaitQueue, serial: number): WaitItem | undefined {
   const index = queue.items.findIndex((item) => item.serial === serial);
   return index === -1 ? undefined : queue.items.splice(index, 1)[0];
 }
 
-/** Removes an item that is sent: the others of its rank move up. */
+/** Removes an item that is sent and advances the virtual time of its rank. */
 export function takeItem(queue: WaitQueue, serial: number): WaitItem | undefined {
   const item = queue.items.find((one) => one.serial === serial);
   if (item !== undefined) {
-    const before = queue.virtualStart.get(item.rank) ?? 0;
-    queue.virtualStart.set(item.rank, Math.max(before, item.startTag));
+    const before = queue.virtualTimes.get(item.rank) ?? 0;
+    queue.virtualTimes.set(item.rank, Math.max(before, item.startTag));
   }
   return removeItem(queue, serial);
 }
 
-/** Lists the items for which something is due. */
+/** Lists the items whose due time has come. */
 export function listDue(queue: WaitQueue, now: number): WaitItem[] {
   return queue.items.filter((item) => now >= item.dueMs);
 }
 
-/** Counts the tokens that would be sent before new work of a workspace, by rank. */
+/** Counts the tokens by rank that would be sent before a new item of a workspace. */
 export function countTokensBefore(
   queue: WaitQueue,
   rank: number,
@@ -114,7 +117,7 @@
   return sums;
 }
 
-/** Finds the item of a rank that would be sent first. */
+/** Finds the first item of a rank. */
 export function findFirst(queue: WaitQueue, rank: number): WaitItem | undefined {
   return queue.items.find((item) => item.rank === rank);
 }
--- a/packages/core/src/scheduler/waiting.ts
+++ b/packages/core/src/scheduler/waiting.ts
@@ -1,143 +1,145 @@
 /**
- * How requests wait in a cell.
+ * Queues the waiting requests of a cell.
  *
- * Ranks: requests that can still be on time by urgency, then late ones by
- * urgency. A late answer still serves its caller, but it must not make another
- * one late. Load pattern: a burst of twice what the engines can do. Kept in order
- * of arrival, all requests would be served just after their time; told apart by
- * the expected wait, those that can be on time are.
+ * Requests that can still meet their target come first, by urgency; late ones follow, by urgency.
+ * A late response is still useful to its caller but must not make another one late. For example, in
+ * a burst of twice the engines' capacity, all requests would be slightly late if they were served
+ * in order of arrival. Separated by their expected wait, those that can be on time are on time.
  */
 import * as queueThroughput from '../shared/queue-throughput.js';
 import * as overloads from '../shared/overload.js';
 import type * as cells from './cell.js';
-import * as firstDelay from './first-delay.js';
+import * as addedLatency from './added-latency.js';
 import type * as scheduledRequest from './scheduled-request.js';
 import * as waitQueue from './wait-queue.js';
 
-/** Added to the rank of a late request; more urgencies than any deployment has. */
+/** Added to the rank of a late request; larger than the number of urgencies of any deployment. */
 const LATE_RANK = 1024;
 /**
- * Added to the rank of a request beyond the declared quota of its workspace that only
- * the tolerance lets in. Load pattern: a workspace sends a little more than its quota
- * while engines are nearly full. In line with the others, its surplus would have requests
- * of workspaces within their quotas late.
+ * Added to the rank of a request that exceeds the declared quota of its workspace and was admitted
+ * only by the quota tolerance. If engines are nearly full and a workspace slightly exceeds its
+ * quota, its surplus would otherwise delay the requests of workspaces within their quotas.
  */
 const BEYOND_QUOTA_RANK = 512;
 /**
- * Added to the rank of a request whose caller has missed its target before: it goes after
- * the others of its urgency, who may still be on time, and before all less urgent ones.
+ * Added to the rank of a request whose caller has already missed its target. It goes after the
+ * others of its urgency, which may still be on time, and before all less urgent ones.
  */
-const BELATED_RANK = 0.5;
-/** Prompt tokens that an engine reads in a millisecond, until its pace is known. */
+const MISSED_TARGET_RANK = 0.5;
+/** Prompt tokens that an engine is assumed to process per millisecond until its speed is known. */
 const PROMPT_TOKENS_PER_MS = 40;
-/** Time to a first token besides the prompt: network, batch, one step; milliseconds. */
+/** Time to the first token besides the prompt (network, batching, one step), milliseconds. */
 const FIRST_TOKEN_MS = 25;
 /**
- * Part of the time left that a wait may be expected to take. Above it too little
- * is left for the run itself.
+ * Maximum share of the remaining time that the expected wait may take. With a longer wait, too
+ * little time would be left to run the request.
  */
-const HOLD_SHARE = 0.5;
+const MAX_WAIT_SHARE = 0.5;
 /**
- * A rank of which nothing was sent for this time is stalled, milliseconds. An
- * engine ends a request every two hundred milliseconds or so; three such times
- * without a place mean that others take them all.
+ * A rank is stalled if none of its requests was sent for this time, milliseconds. An engine
+ * completes a request about every two hundred milliseconds; if a rank gets no slot during three
+ * such periods, other ranks take all of them.
  */
 const STALL_MS = 600;
-/** How often a late request is looked at again, milliseconds. */
-const CHECK_MS = 200;
+/** Interval at which a late request is checked again, milliseconds. */
+const CHECK_INTERVAL_MS = 200;
 
-/** Tells whether requests of a rank wait late. */
+/** Reports whether the requests of a rank are late. */
 function isLateRank(rank: number): boolean {
   return rank >= LATE_RANK;
 }
 
 /** Estimates the time from sending to the first token at an idle engine, milliseconds. */
-export function estimateFirstMs({ promptTokens }: scheduledRequest.ScheduledRequest): number {
+export function estimateIdleFirstMs({ promptTokens }: scheduledRequest.ScheduledRequest): number {
   return FIRST_TOKEN_MS + promptTokens / PROMPT_TOKENS_PER_MS;
 }
 
-/** Estimates the same at an engine as they are now, milliseconds. */
+/** Estimates the time from sending to the first token at the present load, milliseconds. */
 function estimateBusyFirstMs(
   cell: cells.Cell,
   request: scheduledRequest.ScheduledRequest,
   now: number,
 ): number {
-  return estimateFirstMs(request) + firstDelay.estimateExtraMs(cell.firstDelay, now);
+  return estimateIdleFirstMs(request) + addedLatency.estimateAddedLatencyMs(cell.addedLatency, now);
 }
 
-/** Gets how fast the requests of a rank go. */
-function getDrain(cell: cells.Cell, rank: number): queueThroughput.QueueThroughput {
-  const drain = cell.drainByRank.get(rank) ?? queueThroughput.createQueueThroughput();
-  cell.drainByRank.set(rank, drain);
-  return drain;
+/** Returns the throughput of a rank; creates the record if there is none. */
+function getThroughput(cell: cells.Cell, rank: number): queueThroughput.QueueThroughput {
+  const throughput = cell.throughputByRank.get(rank) ?? queueThroughput.createQueueThroughput();
+  cell.throughputByRank.set(rank, throughput);
+  return throughput;
 }
 
 /**
- * Tells whether nothing of a rank has gone for a while though some waited.
+ * Reports whether requests of a rank have waited for a while and none was sent.
  *
- * While more urgent requests take all places, the rate at which the rank went
- * before says nothing of its future.
+ * While more urgent requests take all slots, the earlier throughput of the rank does not predict
+ * its future.
  */
 function isStalled(cell: cells.Cell, rank: number, now: number): boolean {
   const first = waitQueue.findFirst(cell.queue, rank);
-  const lastStartMs = cell.drainByRank.get(rank)?.lastStartMs ?? 0;
+  const lastStartMs = cell.throughputByRank.get(rank)?.lastStartMs ?? 0;
   return first !== undefined && now - Math.max(first.enteredMs, lastStartMs) > STALL_MS;
 }
 
 /**
- * Estimates how long a new request of a rank waits, milliseconds: for the work that
- * is sent before it. Load pattern: two workspaces send four fifths of a burst. By
- * the wait of the whole rank the others are turned away as often as these, though
- * they would be sent before them.
+ * Estimates how long a new request of a rank waits for the work that is sent before it,
+ * milliseconds.
+ *
+ * Only work ahead of the request's workspace counts. If two workspaces cause four fifths of a burst
+ * and the wait of the whole rank were used, requests of the others would be refused just as often,
+ * although the queue would send them earlier.
  */
 function estimateWaitMs(cell: cells.Cell, rank: number, workspace: string, now: number): number {
   if (isStalled(cell, rank, now)) {
     return Infinity;
   }
   return [...waitQueue.countTokensBefore(cell.queue, rank, workspace)].reduce(
-    (sum, [other, tokens]) => sum + queueThroughput.estimateWaitMs(getDrain(cell, other), tokens),
+    (sum, [other, tokens]) =>
+      sum + queueThroughput.estimateWaitMs(getThroughput(cell, other), tokens),
     0,
   );
 }
 
-/** Computes the rank of a request that does not wait late. */
+/** Computes the rank of a request that is not late. */
 function computeRank({
   urgency,
   isBelated,
   isBeyondQuota,
 }: scheduledRequest.ScheduledRequest): number {
-  return urgency + (isBelated ? BELATED_RANK : 0) + (isBeyondQuota ? BEYOND_QUOTA_RANK : 0);
+  return urgency + (isBelated ? MISSED_TARGET_RANK : 0) + (isBeyondQuota ? BEYOND_QUOTA_RANK : 0);
 }
 
-/** Says how a request is to wait; undefined where it would wait in vain. */
-function findPlaceInLine(
+/** Finds the rank and due time of a request; undefined if it could not be served in time. */
+function findQueuePosition(
   cell: cells.Cell,
   request: scheduledRequest.ScheduledRequest,
   now: number,
 ): { rank: number; dueMs: number } | undefined {
   const onTimeRank = computeRank(request);
   const firstMs = estimateBusyFirstMs(cell, request, now);
-  const lateMs = request.targetMs - firstMs;
+  const latestStartMs = request.targetMs - firstMs;
   if (
-    now < lateMs &&
-    estimateWaitMs(cell, onTimeRank, request.workspace, now) <= HOLD_SHARE * (lateMs - now)
+    now < latestStartMs &&
+    estimateWaitMs(cell, onTimeRank, request.workspace, now) <=
+      MAX_WAIT_SHARE * (latestStartMs - now)
   ) {
-    return { rank: onTimeRank, dueMs: lateMs };
+    return { rank: onTimeRank, dueMs: latestStartMs };
   }
   const rank = LATE_RANK + onTimeRank;
   const leftMs = request.leaveMs - firstMs - now;
-  return leftMs <= 0 || estimateWaitMs(cell, rank, request.workspace, now) > HOLD_SHARE * leftMs
+  return leftMs <= 0 || estimateWaitMs(cell, rank, request.workspace, now) > MAX_WAIT_SHARE * leftMs
     ? undefined
-    : { rank, dueMs: now + Math.min(leftMs, CHECK_MS) };
+    : { rank, dueMs: now + Math.min(leftMs, CHECK_INTERVAL_MS) };
 }
 
-/** Puts a request into the queue of its cell; false where it would wait in vain. */
+/** Adds a request to the queue of its cell; returns false if it could not be served in time. */
 export function enqueueRequest(
   cell: cells.Cell,
   request: scheduledRequest.ScheduledRequest,
   now: number,
 ): boolean {
-  const place = findPlaceInLine(cell, request, now);
+  const place = findQueuePosition(cell, request, now);
   if (place === undefined) {
     return false;
   }
@@ -146,7 +148,7 @@
   return true;
 }
 
-/** Takes a request that gets a place out of the queue. */
+/** Removes a request that was granted a slot from the queue and updates the throughput. */
 export function takeRequest(
   cell: cells.Cell,
   request: scheduledRequest.ScheduledRequest,
@@ -155,13 +157,13 @@
   const item = waitQueue.takeItem(cell.queue, request.id);
   if (item !== undefined) {
     const { rank, workTokens, enteredMs } = item;
-    queueThroughput.noteStart(getDrain(cell, rank), workTokens, enteredMs, now);
-    queueThroughput.noteStart(cell.drain, workTokens, request.arrivedMs, now);
+    queueThroughput.noteStart(getThroughput(cell, rank), workTokens, enteredMs, now);
+    queueThroughput.noteStart(cell.throughput, workTokens, request.arrivedMs, now);
   }
 }
 
-/** Tells whether a request that waits late goes on waiting. */
-function isHeldOn(
+/** Reports whether a late request may continue to wait; if so, schedules its next check. */
+function isKeptWaiting(
   cell: cells.Cell,
   item: waitQueue.WaitItem,
   request: scheduledRequest.ScheduledRequest,
@@ -172,18 +174,21 @@
   if (!isLate || leftMs <= 0 || isStalled(cell, item.rank, now)) {
     return false;
   }
-  item.dueMs = now + Math.min(leftMs, CHECK_MS);
+  item.dueMs = now + Math.min(leftMs, CHECK_INTERVAL_MS);
   return true;
 }
 
 /**
- * Moves requests that have become late behind those that have not, and lists
- * those that would go on waiting in vain.
+ * Moves requests that have become late behind those that are not, and removes and returns those
+ * that can no longer be served in time.
  */
-export function updateLate(cell: cells.Cell, now: number): scheduledRequest.ScheduledRequest[] {
+export function updateLateRequests(
+  cell: cells.Cell,
+  now: number,
+): scheduledRequest.ScheduledRequest[] {
   return waitQueue.listDue(cell.queue, now).flatMap((item) => {
     const request = cell.requests.get(item.serial);
-    if (request === undefined || isHeldOn(cell, item, request, now)) {
+    if (request === undefined || isKeptWaiting(cell, item, request, now)) {
       return [];
     }
     waitQueue.removeItem(cell.queue, item.serial);
@@ -192,10 +197,10 @@
   });
 }
 
-/** Draws when a caller that is turned away now should come back, milliseconds. */
+/** Records a refusal and draws the delay after which the caller should retry, milliseconds. */
 export function drawRetryAfter(cell: cells.Cell, drawRandom: () => number, now: number): number {
   const tokens = cell.queue.items.reduce((sum, item) => sum + item.workTokens, 0);
-  const drainMs = queueThroughput.estimateWaitMs(cell.drain, tokens);
+  const drainMs = queueThroughput.estimateWaitMs(cell.throughput, tokens);
   overloads.noteRefusal(cell.overload, now);
   return overloads.drawRetryAfter(cell.overload, drainMs, drawRandom, now);
 }
--- a/packages/core/src/scheduler/warm-up.test.ts
+++ b/packages/core/src/scheduler/warm-up.test.ts
@@ -4,14 +4,14 @@
 
 const { test } = nodeTest;
 const LIMIT = { perSecond: 9, maxInOneSecond: 18, durationMs: 3000 };
-const WARM = { isWarming: false, heardShare: 1 };
-const WARMING = { isWarming: true, heardShare: 1 };
+const WARM = { isWarming: false, reachableShare: 1 };
+const WARMING = { isWarming: true, reachableShare: 1 };
 const SECOND_MS = 1000;
 
-/** Starts whatever may be started for some time, and lists when. */
+/** Starts all requests that are allowed until a time, and lists when each was started. */
 function startAll(
   limit: warmUp.WarmUpLimit,
-  view: warmUp.WarmUpView,
+  view: warmUp.WarmUpState,
   forMs: number,
   before: readonly number[] = [],
 ): number[] {
@@ -23,7 +23,7 @@
   return starts;
 }
 
-/** Counts the most starts in any one second. */
+/** Counts the starts in the busiest second. */
 function countMost(starts: readonly number[]): number {
   const counts = starts.map(
     (from) => starts.filter((one) => one >= from && one < from + SECOND_MS).length,
@@ -31,7 +31,7 @@
   return Math.max(...counts, 0);
 }
 
-test('evenly spaced while it warms up', () => {
+test('starts are evenly spaced during warm-up', () => {
   const starts = startAll(LIMIT, WARMING, 3000);
   const gaps = starts.slice(1).map((one, index) => one - starts[index]);
   assert.ok(Math.min(...gaps) >= 100, String(Math.min(...gaps)));
@@ -39,39 +39,39 @@
   assert.ok(starts.length >= 15, String(starts.length));
 });
 
-test('two schedulers keep the bound', () => {
+test('two schedulers together keep the limit', () => {
   const one = startAll(LIMIT, WARMING, 3000);
   assert.ok(countMost([...one, ...one]) <= LIMIT.maxInOneSecond);
 });
 
-test('schedulers that hear only a part', () => {
-  // The gateways fall apart into five groups that hear nothing of each other. Each has a
-  // scheduler of its own, and all of them reach the backend server.
-  const one = startAll(LIMIT, { isWarming: true, heardShare: 0.2 }, 3000);
+test('partitioned schedulers together keep the limit', () => {
+  // The gateways are partitioned into five groups that cannot reach each other. Each group has a
+  // scheduler of its own, and all of them can reach the backend server.
+  const one = startAll(LIMIT, { isWarming: true, reachableShare: 0.2 }, 3000);
   assert.ok(one.length > 0);
   assert.ok(countMost([...one, ...one, ...one, ...one, ...one]) <= LIMIT.maxInOneSecond);
 });
 
-test('scheduler that hears nobody', () => {
-  assert.deepEqual(startAll(LIMIT, { isWarming: true, heardShare: 0 }, 3000), []);
+test('scheduler that reaches no gateway starts nothing', () => {
+  assert.deepEqual(startAll(LIMIT, { isWarming: true, reachableShare: 0 }, 3000), []);
 });
 
-test('a scheduler that takes over goes on at the rate', () => {
+test('scheduler that takes over continues at the same rate', () => {
   const before = startAll(LIMIT, WARMING, 1000);
   const after = startAll(LIMIT, WARMING, 1800).map((one) => one + 1000);
   assert.ok(countMost([...before, ...after]) <= LIMIT.maxInOneSecond);
 });
 
-test('first second of one that is taken as warm', () => {
-  // A backend server has crashed and is back, and nobody has heard of it. It takes what
-  // comes: within the first second it gets no more than it bears.
+test('first second of a server that is wrongly considered warm', () => {
+  // A backend server has restarted after a crash, and no gateway knows. In the first second it must
+  // get no more requests than it can handle.
   const first = startAll(LIMIT, WARM, 1400);
   assert.ok(first.length <= LIMIT.maxInOneSecond, String(first.length));
   const next = startAll(LIMIT, WARMING, 2800, first).filter((one) => one > 500);
   assert.ok(countMost(next) <= LIMIT.maxInOneSecond, String(countMost(next)));
 });
 
-test('one that is taken as warm no more than doubles', () => {
+test('starts at a warm server at most double per window', () => {
   const starts = startAll(LIMIT, WARM, 5600);
   const counts = [0, 1400, 2800, 4200].map(
     (from) => starts.filter((one) => one >= from && one < from + 1400).length,
@@ -82,9 +82,9 @@
   });
 });
 
-test('grants of a moment that are used in one second', () => {
-  // A gateway stands still and uses its grants up to 0.4 s late, so that grants of 1.4 s
-  // reach the backend server within one second.
+test('delayed grants that are used within one second', () => {
+  // A gateway stalls and uses its grants up to 0.4 s late, so that grants made during 1.4 s reach
+  // the backend server within one second.
   const late = startAll(LIMIT, WARM, 1400).map((one) => Math.max(one, 400));
   assert.ok(countMost(late) <= LIMIT.maxInOneSecond, String(countMost(late)));
 });
--- a/packages/core/src/scheduler/warm-up.ts
+++ b/packages/core/src/scheduler/warm-up.ts
@@ -1,86 +1,80 @@
 /**
- * How many requests a backend server may be started with now.
+ * Limits the rate at which requests are started at a backend server that warms up.
  *
- * One that has just started bears a few requests a second and crashes when it gets many
- * more. Load patterns: a failure domain returns, or half a service is replaced, while
- * calls wait. A dozen backend servers are empty then, nothing is known of their pace, and
- * all that waits would go to them at once.
+ * A backend server that has just started can handle a few requests per second and crashes if it
+ * gets many more. This matters when a failure domain returns, or half of a service is replaced,
+ * while requests wait: a dozen backend servers are idle, their speed is unknown, and all waiting
+ * requests would go to them at once.
  *
- * - While it warms up its requests are spaced evenly. A scheduler that takes the cell over
- *   goes on at the same rate, so that two in turn do not add up to two bursts.
- * - Two schedulers of one cell may give out places at the same time, each to those who
- *   ask it. Each keeps to half of the bound.
- * - Where part of the gateways is not heard, they may be asking a scheduler of their own:
- *   the bound is divided by the part that is heard.
- * - One that warms up before anybody has heard of it looks warm and empty; its entry is
- *   late. So the requests of one that is taken as warm no more than double from one second
- *   to the next, from the bound on. Bounded outright, a service of short requests could
- *   not be used to the full.
+ * - During warm-up the requests are spaced evenly. A scheduler that takes over the cell continues
+ *   at the same rate, so the two do not cause two bursts in a row.
+ * - Two schedulers of one cell may grant slots at the same time, each to the gateways that ask
+ *   it. Each therefore uses half of the limit.
+ * - Gateways that are unreachable may be using a scheduler of their own, so a scheduler uses no
+ *   more than the share of the limit that corresponds to the reachable gateways.
+ * - A backend server may be warming up before its store entry has been read, and then looks warm
+ *   and idle. The requests to a server that is considered warm therefore at most double from one
+ *   time window to the next, starting from the limit. With a fixed limit instead, a service with
+ *   short requests could not reach its full throughput.
  */
 import * as places from './places.js';
 
-/** What a backend server that warms up bears, from all gateways together. */
+/** What a backend server can handle during warm-up, from all gateways together. */
 export type WarmUpLimit = {
-  /** Requests a second. */
+  /** Requests per second. */
   perSecond: number;
-  /** Requests in any one second above which it may crash. */
+  /** Maximum number of requests in any one second; it may crash above this. */
   maxInOneSecond: number;
-  /** How long it warms up, milliseconds. */
+  /** Duration of the warm-up, milliseconds. */
   durationMs: number;
 };
 
-/** When requests were given to backend servers lately, by id, milliseconds, in order. */
+/** Times of recent grants by backend server id, milliseconds, in ascending order. */
 export type RecentStarts = Map<string, number[]>;
 
-/** What is known of a backend server when the next request is to be started there. */
-export type WarmUpView = {
+/** What determines whether another request may be started at a backend server. */
+export type WarmUpState = {
   isWarming: boolean;
-  /** Part of the gateways that this scheduler hears, 0 to 1. */
-  heardShare: number;
+  /** Share of the gateways that this scheduler can reach, 0 to 1. */
+  reachableShare: number;
 };
 
 const MS_PER_SECOND = 1000;
 /**
- * Grants of this time may all be used in one second, milliseconds: a gateway that stands
- * still uses a grant up to `GRANT_USE_MS` after it was given.
+ * Grants made within this time may all be used within one second, milliseconds, because a gateway
+ * that stalls may use a grant up to `GRANT_USE_MS` after it was made.
  */
 const WINDOW_MS = MS_PER_SECOND + places.GRANT_USE_MS;
-/** Schedulers of one cell that may give out places at the same time. */
-const SCHEDULERS = 2;
+/** Number of schedulers of one cell that may grant slots at the same time. */
+const MAX_SCHEDULERS = 2;
 
-/** What a backend server that is warm may get, as a multiple of what it got just before. */
-const GROWTH = 2;
+/** Maximum growth of the number of requests to a warm backend server between two windows. */
+const MAX_GROWTH_FACTOR = 2;
 
-/** Computes how many requests may be started within the window while it warms up. */
-function computeMostWarming(
-  { maxInOneSecond }: WarmUpLimit,
-  heardShare: number,
-): number {
-  return Math.floor(maxInOneSecond * Math.min(1 / SCHEDULERS, heardShare));
+/** Computes the maximum number of requests per window during warm-up. */
+function computeWarmingLimit({ maxInOneSecond }: WarmUpLimit, reachableShare: number): number {
+  return Math.floor(maxInOneSecond * Math.min(1 / MAX_SCHEDULERS, reachableShare));
 }
 
-/** Computes the same for one that is taken as warm. */
-function computeMostWarm(
-  { maxInOneSecond }: WarmUpLimit,
-  startsBefore: number,
-): number {
-  return Math.max(Math.floor(maxInOneSecond), GROWTH * startsBefore);
+/** Computes the maximum number of requests per window for a server that is considered warm. */
+function computeWarmLimit({ maxInOneSecond }: WarmUpLimit, startsBefore: number): number {
+  return Math.max(Math.floor(maxInOneSecond), MAX_GROWTH_FACTOR * startsBefore);
 }
 
-/** Leaves out starts that count no more. */
-function trimStarts(starts: readonly number[], now: number): number[] {
+/** Returns the starts of the present and the previous window. */
+function filterRecentStarts(starts: readonly number[], now: number): number[] {
   return starts.filter((startMs) => now - startMs < 2 * WINDOW_MS);
 }
 
-/** Notes that a request is given to a backend server. */
+/** Records that a request was granted a slot at a backend server. */
 export function noteStart(starts: RecentStarts, serverId: string, now: number): void {
-  starts.set(serverId, [...trimStarts(starts.get(serverId) ?? [], now), now]);
+  starts.set(serverId, [...filterRecentStarts(starts.get(serverId) ?? [], now), now]);
 }
 
-/** Forgets the starts of all backend servers that count no more. */
+/** Removes the starts of all backend servers that are too old to matter. */
 export function expireStarts(starts: RecentStarts, now: number): void {
   starts.forEach((times, serverId) => {
-    const kept = trimStarts(times, now);
+    const kept = filterRecentStarts(times, now);
     if (kept.length === 0) {
       starts.delete(serverId);
     } else if (kept.length < times.length) {
@@ -90,25 +84,25 @@
 }
 
 /**
- * Counts the requests that a backend server may be started with now.
+ * Counts the requests that may be started at a backend server now.
  *
- * @param starts when requests were given to it lately, milliseconds, in order
+ * @param starts times of its recent grants, milliseconds, in ascending order
  */
 export function countStartsLeft(
   starts: readonly number[],
   limit: WarmUpLimit | undefined,
-  view: WarmUpView,
+  state: WarmUpState,
   now: number,
 ): number {
   if (limit === undefined) {
     return Infinity;
   }
   const recent = starts.filter((startMs) => now - startMs < WINDOW_MS).length;
-  if (!view.isWarming) {
-    const before = trimStarts(starts, now).length - recent;
-    return Math.max(computeMostWarm(limit, before) - recent, 0);
+  if (!state.isWarming) {
+    const before = filterRecentStarts(starts, now).length - recent;
+    return Math.max(computeWarmLimit(limit, before) - recent, 0);
   }
-  const most = computeMostWarming(limit, view.heardShare);
+  const most = computeWarmingLimit(limit, state.reachableShare);
   const spacingMs = Math.max(WINDOW_MS / most, MS_PER_SECOND / limit.perSecond);
   const lastMs = starts.at(-1) ?? -Infinity;
   return recent < most && now - lastMs >= spacingMs ? 1 : 0;
