--- a/packages/core/src/shared/attempt-ref.ts
+++ b/packages/core/src/shared/attempt-ref.ts
@@ -1,4 +1,4 @@
-/** Identity of one try to run one request on one agent. */
+/** References to attempts; an attempt is one try to run a request on an agent. */
 import * as schema from '@toucanproxy/schema';
 
 /** Formats a reference as a map key. */
@@ -6,7 +6,7 @@
   return `${ref.requestId}#${ref.attempt}`;
 }
 
-/** Builds a reference. */
+/** Builds a reference to an attempt. */
 export function buildRef(requestId: string, attempt: number): schema.AttemptRef {
   return schema.create(schema.AttemptRefSchema, { requestId, attempt });
 }
--- a/packages/core/src/shared/backend-server-entry.ts
+++ b/packages/core/src/shared/backend-server-entry.ts
@@ -1,4 +1,4 @@
-/** What the store tells of one backend server. */
+/** The store entry of a backend server. */
 import type * as storeRevision from './store-revision.js';
 
 export type BackendServerEntry = {
@@ -7,17 +7,17 @@
   /** IP address and port. */
   address: string;
   failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Requests that it processes concurrently. */
   slots: number;
-  /** Takes no new work. */
+  /** Accepts no new requests because it is shutting down. */
   leaving: boolean;
-  /** Start of this life, milliseconds since the Unix epoch; 0 where it is not told. */
+  /** When this incarnation started, milliseconds since the Unix epoch; 0 if unknown. */
   bornMs: number;
-  /** When this was written; tells it from what came before. */
+  /** When the entry was written; distinguishes it from earlier versions. */
   revision: storeRevision.StoreRevision;
   /**
-   * Time for which it warms up from the reading on, milliseconds; 0 once it is warm,
-   * undefined where it is not told.
+   * Remaining warm-up time when the entry was read, milliseconds; 0 once it is warm, undefined if
+   * unknown.
    */
   warmUpLeftMs: number | undefined;
 };
--- a/packages/core/src/shared/document-index.ts
+++ b/packages/core/src/shared/document-index.ts
@@ -1,6 +1,6 @@
 /**
- * What is looked up in a document for each request, indexed once when the
- * document comes into force: a request costs the same with 15,000 credentials.
+ * Indexes the parts of a document that are looked up for each request. The index is built once per
+ * document, so the cost of a request does not grow with the document, even with 15,000 credentials.
  */
 import * as schema from '@toucanproxy/schema';
 import * as documentTiming from './document-timing.js';
@@ -10,7 +10,7 @@
   credentialByToken: Map<string, schema.Credential>;
   workspaceByName: Map<string, schema.Workspace>;
   tierRankByName: Map<string, number>;
-  /** The longest path prefix first. */
+  /** Sorted by path prefix, the longest first. */
   routes: schema.Route[];
   timing: documentTiming.Timing;
   limits: documentTiming.Limits;
@@ -18,14 +18,14 @@
 
 const indexes = new WeakMap<schema.ServiceDocument, DocumentIndex>();
 
-/** Gets the index of a document, built the first time; documents in force never change. */
+/** Returns the index of a document, built on first use; active documents never change. */
 export function getDocumentIndex(document: schema.ServiceDocument): DocumentIndex {
   const index = indexes.get(document) ?? buildDocumentIndex(document);
   indexes.set(document, index);
   return index;
 }
 
-/** Indexes a document. */
+/** Builds the index of a document. */
 function buildDocumentIndex(document: schema.ServiceDocument): DocumentIndex {
   const routes = [...document.routes];
   routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
@@ -40,7 +40,7 @@
   };
 }
 
-/** Finds the route that serves a path: the longest prefix wins. */
+/** Finds the route with the longest prefix that matches a path. */
 export function findRoute(index: DocumentIndex, path: string): schema.Route | undefined {
   return index.routes.find((route) => path.startsWith(route.pathPrefix));
 }
--- a/packages/core/src/shared/document-store.test.ts
+++ b/packages/core/src/shared/document-store.test.ts
@@ -6,22 +6,22 @@
 const AGENTS = ['a', 'b', 'c'];
 const WHILE_MS = 1000;
 
-/** Gets the versions in force in every process. */
+/** Lists the active version of every process. */
 function listVersions(fleet: smallFleet.SmallFleet): (number | undefined)[] {
   const states = [...fleet.entries.values(), ...fleet.agents.values()];
   return states.map((state) => state.documents.get(smallFleet.SERVICE)?.document.version);
 }
 
-/** Gets the state of an entry. */
+/** Returns the state of an entry. */
 function getEntry(fleet: smallFleet.SmallFleet, id: string): entryState.EntryState {
   const entry = fleet.entries.get(id);
   assert.ok(entry);
   return entry;
 }
 
-nodeTest.test('a version reaches processes without the service', () => {
-  // One entry alone reads the new version; the others are cut off from the
-  // service. It reaches them over heartbeats, each asking one peer for it.
+nodeTest.test('a version reaches processes cut off from the service', () => {
+  // Only one entry reads the new version; the others cannot reach the configuration service. They
+  // must learn of it from heartbeats, and each must fetch it from one peer only.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const stored = smallFleet.buildDocument(AGENTS, { version: 2 });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
@@ -30,10 +30,9 @@
   assert.deepEqual(fleet.fetched.toSorted(), ['a', 'b', 'c', 'e2']);
 });
 
-nodeTest.test('new process with a stale answer', () => {
-  // A new entry is given an old document in which a credential still stands
-  // that the version in force has revoked. It learns of that version before
-  // its first offer and refuses the call.
+nodeTest.test('new process with an outdated document', () => {
+  // A new entry receives an outdated document with a credential that the active version has
+  // revoked. It must learn of the active version before its first offer and refuse the call.
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
   const stored = smallFleet.buildDocument(AGENTS, { version: 2, credentials: [] });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
@@ -49,9 +48,10 @@
   assert.equal(fleet.dispatched.length, 0);
 });
 
-nodeTest.test('two documents under one version', () => {
-  // Two operators publish at once and readers get one or the other. Each keeps
-  // what it took first, says so once, and the next version ends the difference.
+nodeTest.test('two documents with the same version', () => {
+  // Two operators publish documents with the same version, and each reader gets one of them. Each
+  // process must keep the one it received first and log the conflict once. The next version
+  // resolves it.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
   const one = smallFleet.buildDocument(AGENTS, { version: 2 });
   const two = smallFleet.buildDocument(AGENTS, { version: 2, tiers: ['stall', 'draft'] });
@@ -76,7 +76,7 @@
   assert.deepEqual(listVersions(fleet), [3, 3, 3, 3, 3]);
 });
 
-nodeTest.test('older documents are not taken', () => {
+nodeTest.test('older documents are not stored', () => {
   const fleet = smallFleet.createSmallFleet(['e1'], AGENTS);
   const newer = smallFleet.buildDocument(AGENTS, { version: 7 });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored: newer });
--- a/packages/core/src/shared/document-store.ts
+++ b/packages/core/src/shared/document-store.ts
@@ -1,36 +1,37 @@
 /**
- * The service documents in force in this process.
+ * Stores the active service documents of this process.
  *
- * A version only goes up. Configuration services, peers and paused processes
- * may all hand over an older document; taking it would bring back revoked
- * credentials and removed backend servers.
+ * The active version never decreases. Configuration services, peers and processes that were paused
+ * may all supply an older document; accepting it would restore revoked credentials and removed
+ * backend servers.
  */
 import * as schema from '@toucanproxy/schema';
 import * as effect from './effect.js';
 import * as rendezvous from './rendezvous.js';
 
-/** A checked document with the text it came from, so that peers get the same. */
+/** A validated document with its original text, which is passed on to peers unchanged. */
 export type StoredDocument = {
   document: schema.ServiceDocument;
   json: string;
 };
 
-/** A document in force. */
-export type DocumentInForce = StoredDocument & {
-  /** Hash of the content, whatever the layout of the text. */
+/** An active document. */
+export type ActiveDocument = StoredDocument & {
+  /** Hash of the content; independent of the formatting of the text. */
   contentHash: number;
-  /** Hashes of other documents that were seen under the same version. */
+  /** Content hashes of other documents that were seen with the same version. */
   conflicts: Set<number>;
 };
 
-export type DocumentStore = Map<string, DocumentInForce>;
+/** Active documents by service. */
+export type DocumentStore = Map<string, ActiveDocument>;
 
-/** Hashes what a document says. */
+/** Hashes the content of a document. */
 function hashContent(document: schema.ServiceDocument): number {
   return rendezvous.hashText(JSON.stringify(schema.toJson(schema.ServiceDocumentSchema, document)));
 }
 
-/** Stores a checked document; false where the version in force is not older. */
+/** Stores a validated document; returns false if the active version is not older. */
 export function storeDocument(store: DocumentStore, candidate: StoredDocument): boolean {
   const { document } = candidate;
   const current = store.get(document.service);
@@ -42,20 +43,25 @@
   return true;
 }
 
-/** A version that a peer has shown and that this process does not have yet. */
-export type NewerVersion = { version: number; firstSeenMs: number; askedMs: number };
+/** A version that a peer has announced and this process does not have yet. */
+export type NewerVersion = {
+  version: number;
+  /** When a peer first announced the version, milliseconds. */
+  firstSeenMs: number;
+  /** When a peer was last asked for the document, milliseconds. */
+  requestedMs: number;
+};
 
-/** By service. */
+/** Newer versions by service. */
 export type NewerVersions = Map<string, NewerVersion>;
 
 /**
- * How long one peer may take to send a document before another is asked,
- * milliseconds. Asking all who show the version would fetch it as often as this
- * process has links.
+ * Time after which another peer is asked for a document, milliseconds. If all peers that announce
+ * the version were asked at once, the document would be fetched once per link.
  */
 export const DOCUMENT_REPLY_TIMEOUT_MS = 1000;
 
-/** Notes a newer version that a peer shows; true where that peer is to be asked for it. */
+/** Records a newer version that a peer announces; returns whether to ask that peer for it. */
 export function noteNewerVersion(
   newer: NewerVersions,
   service: string,
@@ -64,27 +70,27 @@
 ): boolean {
   const known = newer.get(service);
   if (known === undefined || known.version < version) {
-    newer.set(service, { version, firstSeenMs: now, askedMs: now });
+    newer.set(service, { version, firstSeenMs: now, requestedMs: now });
     return true;
   }
-  const due = now - known.askedMs > DOCUMENT_REPLY_TIMEOUT_MS;
-  known.askedMs = due ? now : known.askedMs;
+  const due = now - known.requestedMs > DOCUMENT_REPLY_TIMEOUT_MS;
+  known.requestedMs = due ? now : known.requestedMs;
   return due;
 }
 
-/** Gets the version in force; 0 where there is none. */
+/** Returns the active version of a service; 0 if there is none. */
 export function getVersion(store: DocumentStore, service: string): number {
   return store.get(service)?.document.version ?? 0;
 }
 
-/** Describes the document in force for a heartbeat. */
+/** Describes the active document of a service for a heartbeat. */
 export function describeVersion(store: DocumentStore, service: string): schema.DocumentVersion {
   const version = getVersion(store, service);
   const contentHash = store.get(service)?.contentHash ?? 0;
   return schema.create(schema.DocumentVersionSchema, { service, version, contentHash });
 }
 
-/** Describes the documents in force for a status page. */
+/** Describes all active documents for a status page. */
 export function describeDocuments(store: DocumentStore): unknown[] {
   return [...store.values()].map(({ document, contentHash, conflicts }) => ({
     service: document.service,
@@ -96,12 +102,12 @@
 }
 
 /**
- * Notes a version that a peer or the service has shown, and reports another
- * content under the version in force, once.
+ * Compares a version announced by a peer or the configuration service with the active one. Logs a
+ * conflict, once per content, if the version is the same but the content differs.
  *
- * Two operators may publish different documents under one version. Each process
- * keeps the one that it took first: swapping would revert a configuration that
- * has been accepted. The next version ends the difference.
+ * Two operators may publish different documents with the same version. Each process keeps the one
+ * that it received first, because replacing it would revert a configuration that was accepted. The
+ * next version resolves the conflict.
  */
 export function noteVersion(
   store: DocumentStore,
@@ -127,7 +133,7 @@
   return [{ kind: 'log', level: schema.LogLevel.WARN, event: 'document-conflict', fields }];
 }
 
-/** Notes the version of a document that was handed over and not taken. */
+/** Checks a document that was received but not stored for a version conflict. */
 export function noteRefusedDocument(
   store: DocumentStore,
   candidate: StoredDocument,
--- a/packages/core/src/shared/document-timing.ts
+++ b/packages/core/src/shared/document-timing.ts
@@ -1,4 +1,4 @@
-/** Times and limits of a document, with the defaults for those it leaves out. */
+/** Timing and limits of a document, with defaults for omitted values. */
 import * as schema from '@toucanproxy/schema';
 
 export const { DEFAULT_LIMITS, DEFAULT_TIMING, getLimits, getTiming } = schema;
--- a/packages/core/src/shared/effect.ts
+++ b/packages/core/src/shared/effect.ts
@@ -1,7 +1,7 @@
-/** Effects that both cores ask of their daemons. */
+/** Effects that the entry core and the agent core request from their daemons. */
 import * as schema from '@toucanproxy/schema';
 
-/** One line for the log; `event` names the decision. */
+/** Writes a log line; `event` names the decision. */
 export type LogEffect = {
   kind: 'log';
   level: schema.LogLevel;
@@ -9,11 +9,11 @@
   fields: Record<string, unknown>;
 };
 
-/** Why prompt work was thrown away. */
+/** Why the work on a prompt was wasted. */
 export enum WasteCause {
   CANCELLED = 'cancelled',
   CRASHED = 'crashed',
-  /** The engine gave up by itself. */
+  /** The engine failed the request without crashing. */
   FAILED = 'failed',
   EVICTED = 'evicted',
   REPEATED = 'repeated',
@@ -28,7 +28,7 @@
   LATE_CLAIM_REPLY = 'late_claim_reply',
 }
 
-/** Something worth counting. Times in milliseconds, amounts in tokens. */
+/** An observation for metrics. Times are in milliseconds, amounts in tokens. */
 export type Observation =
   | { kind: 'outcome'; service: string; tier: string; code: schema.ResultCode; inTime: boolean }
   | { kind: 'firstByte'; service: string; tier: string; ms: number }
@@ -39,12 +39,12 @@
 
 export type ObserveEffect = { kind: 'observe'; observation: Observation };
 
-/** Builds the log line of one decision. */
+/** Builds the log line of a decision, at the level INFO. */
 export function logDecision(event: string, fields: Record<string, unknown>): LogEffect {
   return { kind: 'log', level: schema.LogLevel.INFO, event, fields };
 }
 
-/** Builds an effect that counts one observation. */
+/** Builds the effect that records an observation. */
 export function observe(observation: Observation): ObserveEffect {
   return { kind: 'observe', observation };
 }
--- a/packages/core/src/shared/key-homes.test.ts
+++ b/packages/core/src/shared/key-homes.test.ts
@@ -4,7 +4,7 @@
 import * as keyHomes from './key-homes.js';
 import * as keyTime from './key-time.js';
 
-/** Builds a document whose servers give the version that added and, maybe, lost them. */
+/** Builds a document from the versions in which each server was added and removed (0: never). */
 function buildDocument(
   version: number,
   settledVersion: number,
@@ -23,7 +23,7 @@
 
 const KEYS = Array.from({ length: 300 }, (_, index) => `key-${index}`);
 
-nodeTest.test('one home while members stay', () => {
+nodeTest.test('one home while the members do not change', () => {
   const document = buildDocument(9, 0, { a: [1, 0], b: [1, 0], c: [1, 0] });
   const counts = new Map<string, number>();
   KEYS.forEach((key) => {
@@ -35,10 +35,9 @@
   assert.equal(counts.size, 3);
 });
 
-nodeTest.test('versions that overlap share a home', () => {
-  // Entries run different versions while servers come and go. Whatever two
-  // ranges overlap, the homes of both hold one in common, or the one that both
-  // would have asked is lost.
+nodeTest.test('overlapping version ranges share a home', () => {
+  // Entries have different versions while servers are added and removed. If the version ranges of
+  // two entries overlap, they must have a home in common, which may be a lost one.
   const servers = { a: [1, 0], b: [1, 4], c: [2, 0], d: [3, 0], e: [5, 0] } as const;
   const parse = (version: number, settled: number) => {
     const known = Object.entries(servers).filter(([, [added]]) => added <= version);
@@ -63,9 +62,9 @@
   });
 });
 
-nodeTest.test('two documents under one version', () => {
-  // Two operators publish different servers as version 5, both as settled. The
-  // homes of the version before are the same in both and are asked by both.
+nodeTest.test('two documents with the same version', () => {
+  // Two operators publish different servers as version 5, and both declare it settled. The homes of
+  // the previous version are the same in both documents, and both must ask them.
   const one = buildDocument(5, 5, { a: [1, 0], b: [1, 0], c: [5, 0] });
   const two = buildDocument(5, 5, { a: [1, 0], b: [1, 0], d: [5, 0] });
   KEYS.forEach((key) => {
--- a/packages/core/src/shared/key-homes.ts
+++ b/packages/core/src/shared/key-homes.ts
@@ -1,32 +1,32 @@
 /**
- * The home agents of a key, worked out from one service document.
+ * Computes the home agents of an idempotency key from a service document.
  *
- * Processes may run different versions. Each asks the homes of every version
- * since the settled one, so that two processes share at least one home.
+ * Processes may have different versions of the document. Each of them asks the homes of all
+ * versions since the settled one, so that any two processes have at least one home in common.
  */
 import * as schema from '@toucanproxy/schema';
 import * as rendezvous from './rendezvous.js';
 
 export type KeyHomes = {
-  /** Distinct homes that can be asked, the oldest version first. */
+  /** Distinct homes that can be asked, those of the oldest version first. */
   homes: string[];
-  /** Homes that are gone together with what they had bound. */
+  /** Homes that are gone, together with the bindings that they held. */
   lost: string[];
 };
 
-type Scored = { server: schema.BackendServer; score: number };
+type ScoredServer = { server: schema.BackendServer; score: number };
 
-/** Tells whether a backend server belongs to the service at a version. */
+/** Reports whether a backend server is a member of the service in a version. */
 function isMember(server: schema.BackendServer, version: number): boolean {
   const gone = server.goneInVersion > 0 && server.goneInVersion <= version;
   return server.addedInVersion <= version && !gone;
 }
 
-/** Lists the versions since the settled one at which the members changed. */
+/** Lists the settled version and the later ones in which the members changed. */
 function listChangedVersions(document: schema.ServiceDocument): number[] {
   const { version } = document;
-  // A version cannot be settled while it is being published. Two documents
-  // published under one version would else have no home in common.
+  // A version cannot be settled while it is being published. Otherwise two documents published with
+  // the same version would have no home in common.
   const settledVersion = Math.min(document.settledVersion, Math.max(version - 1, 0));
   const changes = document.backendServers
     .flatMap((server) => [server.addedInVersion, server.goneInVersion])
@@ -34,10 +34,13 @@
   return [...new Set([settledVersion, ...changes])].sort((a, b) => a - b);
 }
 
-/** Finds the member with the highest score; equal scores fall back to the id. */
-function findWinner(scored: readonly Scored[], version: number): schema.BackendServer | undefined {
+/** Finds the member with the highest score; for equal scores, the lowest id wins. */
+function findWinner(
+  scored: readonly ScoredServer[],
+  version: number,
+): schema.BackendServer | undefined {
   const members = scored.filter((one) => isMember(one.server, version));
-  const best = members.reduce<Scored | undefined>((winner, one) => {
+  const best = members.reduce<ScoredServer | undefined>((winner, one) => {
     const wins =
       winner === undefined ||
       one.score > winner.score ||
@@ -47,7 +50,7 @@
   return best?.server;
 }
 
-/** Tells whether a backend server has been declared gone. */
+/** Reports whether a backend server was declared gone. */
 function isGone(server: schema.BackendServer): boolean {
   return server.goneInVersion > 0 || server.state === schema.BackendServerState.GONE;
 }
--- a/packages/core/src/shared/key-retention.ts
+++ b/packages/core/src/shared/key-retention.ts
@@ -1,25 +1,25 @@
 /**
- * How long what is known of a key must be kept. docs/design/keys.md derives
- * each inequality.
+ * Computes how long records of an idempotency key must be retained. docs/design/keys.md derives the
+ * inequalities.
  */
 import * as documentTiming from './document-timing.js';
 
 /**
- * Computes how long a home keeps a binding or a close, and how long a home that
- * has just started cannot decide on a key without an issue time, milliseconds.
+ * Computes how long a home retains a binding or a close, milliseconds. For the same time after its
+ * start, a home cannot decide on a key without an issue time.
  *
- * A caller sends a key again for at most the key window; the entry that takes
- * the call in may claim until the call's deadline; each of two clocks compared
- * on the way may be off by the skew.
+ * A caller may send a key again for at most the key window, the entry that receives the call may
+ * claim the key until the deadline of the call, and each of the two clocks that are compared may be
+ * off by the clock skew.
  */
 export function computeRetention(timing: documentTiming.Timing): number {
   return timing.keyWindowMs + timing.maxDeadlineMs + 2 * timing.clockSkewMs;
 }
 
 /**
- * Tells whether an agent that does not know an attempt can be sure that it
- * never had it: its records are kept for the key window and twice the skew, so
- * within the window after the issue time none has been forgotten.
+ * Reports whether an agent would still have its record of an attempt. If so, an agent without a
+ * record can be sure that it never received the attempt. Records are retained for the key window
+ * and twice the clock skew, so none has expired within the key window after the issue time.
  */
 export function isRecordRetained(
   timing: documentTiming.Timing,
--- a/packages/core/src/shared/overload.ts
+++ b/packages/core/src/shared/overload.ts
@@ -1,47 +1,48 @@
 /**
- * How long a service has been turning requests away, and when to return.
+ * Tracks how long a service has been refusing requests, and computes when callers should retry.
  *
- * Load pattern: bursts of seconds in which most of what is turned away would be
- * turned away again after half a second. Nothing tells how long a burst lasts; an
- * overload that has lasted for some time is expected to last as long again. The
- * returns are spread over that time, so that they do not make a burst themselves.
+ * In a burst of several seconds, most refused requests would be refused again if they were retried
+ * after half a second. The length of a burst is not known in advance, so an overload is expected
+ * to continue for as long as it has already lasted. Retries are spread so that they do not cause
+ * another burst.
  */
 
 export type Overload = {
-  /** When the present overload began, and when a request was last turned away, ms. */
+  /** When the latest overload began, milliseconds. */
   beganMs: number;
-  lastMs: number;
+  /** When a request was last refused, milliseconds. */
+  lastRefusalMs: number;
 };
 
-/** Without a refusal for this time an overload is over, milliseconds. */
-const OVER_MS = 2000;
+/** An overload ends when no request was refused for this time, milliseconds. */
+const OVERLOAD_END_MS = 2000;
 /**
- * Shortest advice, milliseconds. A caller that returns within the first second of a
- * burst is turned away again, and most callers return once.
+ * Shortest retry delay before the random spread, milliseconds. A caller that retries within the
+ * first second of a burst is refused again, and most callers retry only once.
  */
 const MIN_RETRY_AFTER_MS = 1200;
-/** Callers of long requests have some 15 s; a third of that may pass before they return. */
+/** Longest delay before the spread, ms: a third of the typical 15 s deadline of long requests. */
 const MAX_RETRY_AFTER_MS = 5000;
-/** Returns are spread from once to twice the expected time. */
-const SPREAD = 1;
+/** Retries are spread from one to two times the expected time. */
+const JITTER_RANGE = 1;
 
-/** Creates the record of a service that has turned nothing away. */
+/** Creates the record of a service that has refused no request. */
 export function createOverload(): Overload {
-  return { beganMs: 0, lastMs: -Infinity };
+  return { beganMs: 0, lastRefusalMs: -Infinity };
 }
 
-/** Notes that a request is turned away. */
+/** Records that a request is refused. */
 export function noteRefusal(overload: Overload, now: number): void {
-  if (now - overload.lastMs > OVER_MS) {
+  if (now - overload.lastRefusalMs > OVERLOAD_END_MS) {
     overload.beganMs = now;
   }
-  overload.lastMs = now;
+  overload.lastRefusalMs = now;
 }
 
 /**
- * Draws when a caller that is turned away should return, milliseconds.
+ * Draws the delay after which a refused caller should retry, milliseconds.
  *
- * @param drainMs time that what waits now needs
+ * @param drainMs expected time until the present queue is empty
  */
 export function drawRetryAfter(
   overload: Overload,
@@ -49,7 +50,7 @@
   drawRandom: () => number,
   now: number,
 ): number {
-  const lastedMs = Math.max(now - overload.beganMs, 0);
-  const expectedMs = Math.max(lastedMs, drainMs, MIN_RETRY_AFTER_MS);
-  return Math.min(expectedMs, MAX_RETRY_AFTER_MS) * (1 + SPREAD * drawRandom());
+  const elapsedMs = Math.max(now - overload.beganMs, 0);
+  const expectedMs = Math.max(elapsedMs, drainMs, MIN_RETRY_AFTER_MS);
+  return Math.min(expectedMs, MAX_RETRY_AFTER_MS) * (1 + JITTER_RANGE * drawRandom());
 }
--- a/packages/core/src/shared/priority-heap.ts
+++ b/packages/core/src/shared/priority-heap.ts
@@ -1,17 +1,17 @@
 /**
- * Ids ordered by a number, the least first: a binary heap with lazy removal.
- * Adding, moving and removing one id costs a logarithm of the number held.
+ * A priority queue of ids, the lowest priority value first: a binary heap with lazy removal.
+ * Adding, moving and removing an id takes amortized logarithmic time.
  */
 
 type HeapItem = { id: string; priority: number };
 
 export type PriorityHeap = {
   items: HeapItem[];
-  /** The priority that counts; items that differ from it are stale. */
+  /** Current priority of each id; heap items with another priority are stale. */
   priorities: Map<string, number>;
 };
 
-/** Stale items that are kept before the heap is built anew. */
+/** Number of stale items that are tolerated before the heap is rebuilt. */
 const MIN_STALE_ITEMS = 64;
 
 /** Creates an empty heap. */
@@ -20,13 +20,13 @@
 }
 
 /** Swaps two items. */
-function setSwapped(items: HeapItem[], a: number, b: number): void {
+function swapItems(items: HeapItem[], a: number, b: number): void {
   const item = items[a];
   items[a] = items[b];
   items[b] = item;
 }
 
-/** Moves the last item up to its place. */
+/** Moves the last item up until the heap order is restored. */
 function pushUp(items: HeapItem[]): void {
   let index = items.length - 1;
   while (index > 0) {
@@ -34,12 +34,12 @@
     if (items[parent].priority <= items[index].priority) {
       return;
     }
-    setSwapped(items, parent, index);
+    swapItems(items, parent, index);
     index = parent;
   }
 }
 
-/** Moves the first item down to its place. */
+/** Moves the first item down until the heap order is restored. */
 function pushDown(items: HeapItem[]): void {
   let index = 0;
   for (;;) {
@@ -55,12 +55,12 @@
     if (least === index) {
       return;
     }
-    setSwapped(items, least, index);
+    swapItems(items, least, index);
     index = least;
   }
 }
 
-/** Takes the first item off, stale or not. */
+/** Removes the first item, stale or not. */
 function dropFirst(items: HeapItem[]): void {
   const last = items.pop();
   if (last !== undefined && items.length > 0) {
@@ -69,7 +69,7 @@
   }
 }
 
-/** Drops stale items once they are the greater part. */
+/** Rebuilds the heap without stale items once they outnumber the current ones. */
 function trimStale(heap: PriorityHeap): void {
   if (heap.items.length > 2 * heap.priorities.size + MIN_STALE_ITEMS) {
     heap.items = [...heap.priorities].map(([id, priority]) => ({ id, priority }));
@@ -77,7 +77,7 @@
   }
 }
 
-/** Adds an id, or moves one that is held. */
+/** Adds an id, or changes the priority of one that is present. */
 export function setPriority(heap: PriorityHeap, id: string, priority: number): void {
   if (heap.priorities.get(id) === priority) {
     return;
@@ -94,7 +94,7 @@
   trimStale(heap);
 }
 
-/** Takes each id whose priority is not above a bound, the least first. */
+/** Removes and returns the ids whose priority is not above a bound, the lowest first. */
 export function takeUpTo(heap: PriorityHeap, bound: number): string[] {
   const taken: string[] = [];
   while (heap.items.length > 0 && heap.items[0].priority <= bound) {
--- a/packages/core/src/shared/queue-throughput.ts
+++ b/packages/core/src/shared/queue-throughput.ts
@@ -1,66 +1,69 @@
 /**
- * How fast a service takes requests off this entry, as measured.
+ * Measures the throughput of a queue: the requests and tokens that leave it.
  *
- * Only time in which a request waited is counted: few starts in a quiet time
- * say nothing of how fast a queue would drain.
+ * Only time in which a request waited is counted. At low load there are few starts, but they do not
+ * show how fast a backlog would be processed.
  */
 
 export type QueueThroughput = {
-  /** Starts so far. */
+  /** Number of starts so far, not decayed. */
   starts: number;
-  /** Recent starts, their tokens and the time they took; older ones fade. */
+  /** Recent starts; older ones count less. */
   requests: number;
+  /** Tokens of these requests. */
   tokens: number;
+  /** Time in which these starts took place while requests waited, milliseconds. */
   busyMs: number;
   lastStartMs: number;
 };
 
-/** What is kept of the past with each start. */
-const KEPT_SHARE = 0.95;
-/** Advice where nothing waits or nothing has been measured, milliseconds. */
+/** Decay of the measured values with each start. */
+const DECAY_FACTOR = 0.95;
+/** Retry delay if nothing waits or too little was measured, milliseconds. */
 const DEFAULT_RETRY_AFTER_MS = 1000;
 const MIN_RETRY_AFTER_MS = 500;
 const MAX_RETRY_AFTER_MS = 60_000;
-/** Spread of the advice, so that callers do not all come back at once. */
-const MIN_SPREAD = 0.8;
-const SPREAD = 0.4;
-/** Starts before the rate is trusted. */
+/** Lower bound and width of the random factor that keeps callers from retrying all at once. */
+const MIN_JITTER = 0.8;
+const JITTER_RANGE = 0.4;
+/** Minimum number of starts before the measured throughput is used. */
 const MIN_STARTS = 5;
 
-/** Creates a rate with nothing measured. */
+/** Creates a record without measurements. */
 export function createQueueThroughput(): QueueThroughput {
   return { starts: 0, requests: 0, tokens: 0, busyMs: 0, lastStartMs: 0 };
 }
 
-/** Notes that a backend server started a request that had waited since `arrivedMs`. */
+/** Records the start of a request that had waited since `arrivedMs`. */
 export function noteStart(
-  rate: QueueThroughput,
+  throughput: QueueThroughput,
   tokens: number,
   arrivedMs: number,
   now: number,
 ): void {
-  rate.starts += 1;
-  rate.requests = KEPT_SHARE * rate.requests + 1;
-  rate.tokens = KEPT_SHARE * rate.tokens + tokens;
-  rate.busyMs = KEPT_SHARE * rate.busyMs + now - Math.max(rate.lastStartMs, arrivedMs);
-  rate.lastStartMs = now;
+  throughput.starts += 1;
+  throughput.requests = DECAY_FACTOR * throughput.requests + 1;
+  throughput.tokens = DECAY_FACTOR * throughput.tokens + tokens;
+  throughput.busyMs =
+    DECAY_FACTOR * throughput.busyMs + now - Math.max(throughput.lastStartMs, arrivedMs);
+  throughput.lastStartMs = now;
 }
 
-/** Estimates the wait behind some tokens, milliseconds; 0 where too little is known. */
-export function estimateWaitMs(rate: QueueThroughput, tokensAhead: number): number {
-  return rate.starts < MIN_STARTS ? 0 : (tokensAhead / rate.tokens) * rate.busyMs;
+/** Estimates the wait behind the given tokens, milliseconds; 0 if too little was measured. */
+export function estimateWaitMs(throughput: QueueThroughput, tokensAhead: number): number {
+  return throughput.starts < MIN_STARTS ? 0 : (tokensAhead / throughput.tokens) * throughput.busyMs;
 }
 
-/** Advises when to come back, milliseconds, from the requests that wait ahead. */
+/** Draws the delay after which a caller should retry, based on the requests ahead, ms. */
 export function drawRetryAfter(
-  rate: QueueThroughput,
+  throughput: QueueThroughput,
   requestsAhead: number,
   drawRandom: () => number,
 ): number {
   const waitMs =
-    rate.starts < MIN_STARTS || requestsAhead === 0
+    throughput.starts < MIN_STARTS || requestsAhead === 0
       ? DEFAULT_RETRY_AFTER_MS
-      : (requestsAhead / rate.requests) * rate.busyMs;
-  const spread = waitMs * (MIN_SPREAD + SPREAD * drawRandom());
+      : (requestsAhead / throughput.requests) * throughput.busyMs;
+  const spread = waitMs * (MIN_JITTER + JITTER_RANGE * drawRandom());
   return Math.round(Math.min(Math.max(spread, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS));
 }
--- a/packages/core/src/shared/rendezvous.test.ts
+++ b/packages/core/src/shared/rendezvous.test.ts
@@ -5,13 +5,13 @@
 const { test } = nodeTest;
 const KEYS = ['one/0', 'one/1', 'two/0'];
 
-/** Builds ids. */
+/** Builds the ids with numbers from `from` up to but not including `to`. */
 function buildIds(from: number, to: number): string[] {
   return Array.from({ length: to - from }, (_, index) => `10.0.0.${from + index}:1`);
 }
 
-test('updated ranking is the one that is made anew', () => {
-  // Guards against gateways that order schedulers by how they came to know them.
+test('updated ranking equals a new one', () => {
+  // Guards against a ranking of schedulers that depends on the order in which they became known.
   KEYS.forEach((key) => {
     const ranked = rendezvous.rankScored(key, buildIds(0, 60));
     const gone = new Set(buildIds(10, 25));
@@ -22,7 +22,7 @@
   });
 });
 
-test('ranking from nothing, and to nothing', () => {
+test('rankings that start or end empty', () => {
   const ids = buildIds(0, 5);
   const ranked = rendezvous.updateRanked('one/0', [], ids, new Set());
   assert.deepEqual(ranked, rendezvous.rankScored('one/0', ids));
--- a/packages/core/src/shared/rendezvous.ts
+++ b/packages/core/src/shared/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: every process ranks the same ids for the same key in the
- * same order, without talking to another.
+ * Rendezvous hashing: all processes rank the same ids in the same order for a key, without
+ * coordination.
  */
 import * as xxhash from 'xxhash-wasm';
 
@@ -14,23 +14,23 @@
 /** An id and its score for a key. */
 export type ScoredId = { id: string; score: number };
 
-/** Compares two scored ids; the one with the higher score goes first, equal ones by their ids. */
+/** Compares two scored ids: the higher score goes first, equal scores are ordered by id. */
 function compareScored(a: ScoredId, b: ScoredId): number {
   return b.score - a.score || (a.id < b.id ? -1 : 1);
 }
 
-/** Ranks ids for a key, the winner first, with their scores. */
+/** Ranks ids for a key, the highest score first, and returns them with their scores. */
 export function rankScored(key: string, ids: readonly string[]): ScoredId[] {
   const scored = ids.map((id) => ({ id, score: hasher.h32(`${key}\u0000${id}`) }));
   return scored.sort(compareScored);
 }
 
-/** Ranks ids for a key, the winner first. */
+/** Ranks ids for a key, the highest score first. */
 export function rankByRendezvous(key: string, ids: readonly string[]): string[] {
   return rankScored(key, ids).map(({ id }) => id);
 }
 
-/** Brings a ranking for a key in line with ids that were added, and others that have gone. */
+/** Updates a ranking for ids that were added and others that are gone. */
 export function updateRanked(
   key: string,
   ranked: readonly ScoredId[],
--- a/packages/core/src/shared/retry-budget.ts
+++ b/packages/core/src/shared/retry-budget.ts
@@ -1,20 +1,20 @@
 /**
- * Bounds the repeats of an entry for one service.
+ * Limits the retries of requests to a service.
  *
- * When engines fail under load, repeats add load and make more of them fail. A
- * budget in percent of first attempts keeps a burst from multiplying itself.
+ * When engines fail under load, retries add load and cause more failures. A budget in percent of
+ * the first attempts keeps a burst from amplifying itself.
  */
 import * as decayingCount from './decaying-count.js';
 
 export type RetryBudget = {
   firstAttempts: decayingCount.DecayingCount;
-  repeats: decayingCount.DecayingCount;
+  retries: decayingCount.DecayingCount;
 };
 
-/** Time over which attempts and repeats are compared, milliseconds. */
+/** Time constant over which first attempts and retries are counted, milliseconds. */
 const BUDGET_TAU_MS = 10_000;
-/** Repeats that a quiet service may always make in that time. */
-const FLOOR_REPEATS = 3;
+/** Retries that are always allowed within that time, also at low load. */
+const MIN_RETRIES = 3;
 const PERCENT = 100;
 
 const BACKOFF_BASE_MS = 50;
@@ -24,36 +24,36 @@
 export function createRetryBudget(): RetryBudget {
   return {
     firstAttempts: decayingCount.createDecayingCount(),
-    repeats: decayingCount.createDecayingCount(),
+    retries: decayingCount.createDecayingCount(),
   };
 }
 
-/** Notes a request that is placed for the first time. */
+/** Records the first attempt of a request. */
 export function noteFirstAttempt(budget: RetryBudget, now: number): void {
   decayingCount.addCount(budget.firstAttempts, 1, now, BUDGET_TAU_MS);
 }
 
 /**
- * Takes one repeat from the budget; false where it is spent.
+ * Takes one retry from the budget; returns false if it is exhausted.
  *
- * @param floor repeats that a quiet service may always make
+ * @param floor retries that are always allowed, also at low load
  */
 export function takeRetry(
   budget: RetryBudget,
   percent: number,
   now: number,
-  floor = FLOOR_REPEATS,
+  floor = MIN_RETRIES,
 ): boolean {
   const first = decayingCount.getCount(budget.firstAttempts, now, BUDGET_TAU_MS);
-  const made = decayingCount.getCount(budget.repeats, now, BUDGET_TAU_MS);
+  const made = decayingCount.getCount(budget.retries, now, BUDGET_TAU_MS);
   if (made + 1 > floor + (first * percent) / PERCENT) {
     return false;
   }
-  decayingCount.addCount(budget.repeats, 1, now, BUDGET_TAU_MS);
+  decayingCount.addCount(budget.retries, 1, now, BUDGET_TAU_MS);
   return true;
 }
 
-/** Draws the pause before a repeat, milliseconds; the bound doubles each time. */
-export function drawBackoff(repeats: number, drawRandom: () => number): number {
-  return drawRandom() * Math.min(BACKOFF_CAP_MS, BACKOFF_BASE_MS * 2 ** repeats);
+/** Draws the backoff before a retry, milliseconds; its upper bound doubles with each retry. */
+export function drawBackoff(retries: number, drawRandom: () => number): number {
+  return drawRandom() * Math.min(BACKOFF_CAP_MS, BACKOFF_BASE_MS * 2 ** retries);
 }
--- a/packages/core/src/shared/start-queue.test.ts
+++ b/packages/core/src/shared/start-queue.test.ts
@@ -15,7 +15,7 @@
   deadlineMs: 0,
 };
 
-/** Takes up to `count` items. */
+/** Takes up to `count` items from the queue. */
 function takeMany(queue: startQueue.StartQueue, count: number): startQueue.QueuedItem[] {
   return Array.from({ length: count }).flatMap(() => {
     const item = startQueue.findNext(queue);
@@ -74,9 +74,9 @@
 });
 
 nodeTest.test('an urgent arrival evicts the newest of the least urgent tier', () => {
-  // The queue is full. The caller of the evicted draft is told that it was not
-  // run, the urgent one waits in its place, and a draft that comes then is
-  // refused, for everything that waits is at least as urgent.
+  // The queue is full. The evicted draft must be reported as not run, and the urgent attempt is
+  // queued instead. A draft that arrives afterwards must be refused, because everything in the
+  // queue is at least as urgent.
   const agent = bench.createBench({ maxRunning: 1, maxQueued: 2 });
   bench.offer(agent, 'running');
   bench.offer(agent, 'draft-old', { tierRank: 2 });
@@ -89,10 +89,10 @@
   assert.equal(refused.code, schema.ResultCode.QUEUE_FULL);
 });
 
-nodeTest.test('a full queue of urgent work takes the place held for a draft', () => {
-  // The only place is held for a draft whose offer is on its way, and the
-  // queue is full of urgent work. The next urgent one is taken in; the draft
-  // loses its place before an urgent one is shed.
+nodeTest.test('a full queue of urgent work takes the slot reserved for a draft', () => {
+  // The only slot is reserved for a draft whose offer is in transit, and the queue is full of
+  // urgent attempts. The next urgent one must be accepted: the draft loses its reservation before
+  // an urgent attempt is shed.
   const agent = bench.createBench({ maxRunning: 1, maxQueued: 1 });
   bench.reserve(agent, 'draft', { tierRank: 2 });
   bench.offer(agent, 'stall-1');
--- a/packages/core/src/shared/start-queue.ts
+++ b/packages/core/src/shared/start-queue.ts
@@ -1,8 +1,8 @@
 /**
- * What waits for a place on the engine: offered attempts and reservations.
+ * A queue of attempts and reservations that wait for a slot on an engine.
  *
- * The most urgent tier goes first. Within a tier, workspaces take turns by
- * deficit round robin over estimated tokens (Shreedhar and Varghese, 1995).
+ * The most urgent tier goes first. Within a tier, workspaces are served by deficit round robin over
+ * estimated tokens (Shreedhar and Varghese, 1995).
  */
 
 export enum QueuedKind {
@@ -12,19 +12,20 @@
 
 export type QueuedItem = {
   kind: QueuedKind;
-  /** Reference key of an attempt, request id of a reservation. */
+  /** Reference key of an attempt, or request id of a reservation. */
   id: string;
   tierRank: number;
   workspace: string;
-  /** Share against other workspaces of the tier. */
+  /** Weight of the workspace relative to the others of the tier. */
   weight: number;
   estimatedTokens: number;
   deadlineMs: number;
 };
 
 type WorkspaceQueue = {
-  /** Tokens that the workspace may start before its turn ends. */
+  /** Tokens that the workspace may still start in its turn. */
   deficit: number;
+  /** Estimated tokens of the queued items. */
   tokens: number;
   /** In order of arrival. */
   items: Map<string, QueuedItem>;
@@ -32,32 +33,35 @@
 
 type TierQueue = {
   tierRank: number;
+  /** Number of queued items. */
   count: number;
+  /** Estimated tokens of the queued items. */
   tokens: number;
-  /** Workspaces with queued items; the first one has the turn. */
+  /** Workspaces with queued items in the order of their turns, the present one first. */
   workspaces: Map<string, WorkspaceQueue>;
-  /** Items in order of arrival; those that have left the queue are skipped. */
+  /** Items in order of arrival; may contain items that have left the queue. */
   arrivals: QueuedItem[];
 };
 
 export type StartQueue = {
+  /** All queued items by kind and id. */
   items: Map<string, QueuedItem>;
   /** Tiers with queued items, the most urgent first. */
   tiers: TierQueue[];
-  /** No queued item has an earlier deadline, milliseconds since the Unix epoch. */
+  /** Lower bound of the deadlines of all queued items, milliseconds since the Unix epoch. */
   earliestDeadlineMs: number;
 };
 
-/** Tokens that one turn adds for each unit of weight. */
+/** Tokens that a workspace gains per turn and unit of weight. */
 const QUANTUM_TOKENS = 2048;
 
-/** Cost above which an estimate is cut, so that a turn's loop stays short. */
+/** Upper bound of an estimate, so that the loop over the turns stays short. */
 const MAX_ITEM_TOKENS = 1_048_576;
 
-/** Least urgent rank that is told apart; bounds the counts by tier. */
+/** Higher tier ranks are treated as this one, which bounds the size of the counts by tier. */
 const MAX_TIER_RANK = 63;
 
-/** Stale arrivals that a tier keeps before it drops them. */
+/** Number of stale arrivals that a tier tolerates before they are removed. */
 const MIN_STALE_ARRIVALS = 64;
 
 /** Creates an empty queue. */
@@ -65,17 +69,17 @@
   return { items: new Map(), tiers: [], earliestDeadlineMs: Number.POSITIVE_INFINITY };
 }
 
-/** Builds the map key of an item; the kinds share one queue. */
+/** Builds the map key of an item; both kinds share one queue. */
 function toItemKey(kind: QueuedKind, id: string): string {
   return `${kind}/${id}`;
 }
 
-/** Counts what is queued. */
+/** Counts the queued items. */
 export function countQueued(queue: StartQueue): number {
   return queue.items.size;
 }
 
-/** Counts the queued tokens. */
+/** Counts the estimated tokens of the queued items. */
 export function countTokens(queue: StartQueue): number {
   return queue.tiers.reduce((sum, tier) => sum + tier.tokens, 0);
 }
@@ -95,7 +99,7 @@
   return queue.items.get(toItemKey(kind, id));
 }
 
-/** Lists items whose deadline has passed; cheap while there are none. */
+/** Lists the items whose deadline has passed; takes constant time while there are none. */
 export function listOverdue(queue: StartQueue, now: number): QueuedItem[] {
   if (now < queue.earliestDeadlineMs) {
     return [];
@@ -106,12 +110,12 @@
   return items.filter((item) => now >= item.deadlineMs);
 }
 
-/** Lists everything queued. */
+/** Lists all queued items. */
 export function listItems(queue: StartQueue): QueuedItem[] {
   return [...queue.items.values()];
 }
 
-/** Gets the queue of a tier, made where there is none. */
+/** Returns the queue of a tier; creates it if there is none. */
 function getTier(queue: StartQueue, tierRank: number): TierQueue {
   const index = queue.tiers.findIndex((tier) => tier.tierRank >= tierRank);
   if (index !== -1 && queue.tiers[index].tierRank === tierRank) {
@@ -122,12 +126,12 @@
   return tier;
 }
 
-/** Bounds an estimate that came over a link. */
+/** Limits an estimate received over a link to valid values. */
 function trimTokens(estimatedTokens: number): number {
   return estimatedTokens >= 1 ? Math.min(estimatedTokens, MAX_ITEM_TOKENS) : 1;
 }
 
-/** Adds an item; false where it is queued already. */
+/** Adds an item; returns false if it is already queued. */
 export function enqueue(queue: StartQueue, given: QueuedItem): boolean {
   const key = toItemKey(given.kind, given.id);
   if (queue.items.has(key)) {
@@ -155,7 +159,7 @@
   return true;
 }
 
-/** Drops arrivals that have left the queue once they are the greater part. */
+/** Removes arrivals that have left the queue once they outnumber the queued items. */
 function trimArrivals(queue: StartQueue, tier: TierQueue): void {
   if (tier.arrivals.length > 2 * tier.count + MIN_STALE_ARRIVALS) {
     tier.arrivals = tier.arrivals.filter(
@@ -164,7 +168,7 @@
   }
 }
 
-/** Removes an item; undefined where it was not queued. */
+/** Removes an item; returns undefined if it is not queued. */
 export function removeItem(
   queue: StartQueue,
   kind: QueuedKind,
@@ -194,8 +198,8 @@
   return item;
 }
 
-/** Finds the item of a tier whose turn it is; turns pass until one can pay. */
-function findTurn(tier: TierQueue): QueuedItem | undefined {
+/** Finds the next item of a tier; passes the turn on until a deficit covers the item. */
+function findNextInTier(tier: TierQueue): QueuedItem | undefined {
   for (;;) {
     const [turn] = tier.workspaces;
     if (turn === undefined) {
@@ -212,12 +216,12 @@
   }
 }
 
-/** Finds the item to start next and leaves it in the queue. */
+/** Finds the item to start next without removing it. */
 export function findNext(queue: StartQueue): QueuedItem | undefined {
-  return queue.tiers[0] && findTurn(queue.tiers[0]);
+  return queue.tiers[0] && findNextInTier(queue.tiers[0]);
 }
 
-/** Takes an item that starts out of the queue and charges its workspace. */
+/** Removes an item that is started and charges its tokens to its workspace. */
 export function takeItem(queue: StartQueue, item: QueuedItem): void {
   const workspace = getTier(queue, item.tierRank).workspaces.get(item.workspace);
   if (workspace !== undefined) {
@@ -226,7 +230,7 @@
   removeItem(queue, item.kind, item.id);
 }
 
-/** Finds the newest item of the least urgent tier, where that is below `tierRank`. */
+/** Finds the newest item of the least urgent tier, if that is less urgent than `tierRank`. */
 export function findEvictionCandidate(queue: StartQueue, tierRank: number): QueuedItem | undefined {
   const tier = queue.tiers.at(-1);
   if (tier === undefined || tier.tierRank <= tierRank) {
@@ -241,7 +245,7 @@
   }
 }
 
-/** Estimates the tokens that start before a new item of a workspace. */
+/** Estimates the tokens that are started before a new item of a workspace. */
 export function estimateTokensAhead(
   queue: StartQueue,
   tierRank: number,
@@ -256,7 +260,7 @@
     return moreUrgent;
   }
   const ownTokens = (tier.workspaces.get(workspaceName)?.tokens ?? 0) + estimatedTokens;
-  // Turns hold a workspace with little queued back by its own work times the
-  // number of workspaces at most, not by all that others have queued.
+  // Because workspaces take turns, a workspace with little queued work is delayed at most by its
+  // own work times the number of workspaces, not by everything that the others have queued.
   return moreUrgent + Math.min(tier.tokens, ownTokens * tier.workspaces.size);
 }
--- a/packages/core/src/shared/store-revision.ts
+++ b/packages/core/src/shared/store-revision.ts
@@ -1,26 +1,26 @@
 /**
- * When something was written to the store, in the order of its writes.
+ * Orders the writes to the store.
  *
- * A store that is restored from an older backup gives out the counts since that backup once
- * more, so that a count alone does not order what was written before and after.
+ * A store that is restored from an older backup reuses the counts since that backup, so the count
+ * alone does not order the writes before and after the restore.
  */
 
 export type StoreRevision = {
-  /** Rises each time the store is restored from an older backup; 0 where it does not tell. */
+  /** Increases each time the store is restored from an older backup; 0 if not reported. */
   epoch: number;
-  /** Rises with each write of an epoch. */
+  /** Increases with each write within an epoch. */
   count: number;
 };
 
-/** Earlier than all that a store tells. */
+/** Earlier than any revision that a store reports. */
 export const EARLIEST_REVISION: StoreRevision = { epoch: -1, count: -1 };
 
-/** Compares two revisions, for sorting: the later one is greater. */
+/** Compares two revisions for sorting; the later one is greater. */
 export function compareRevisions(a: StoreRevision, b: StoreRevision): number {
   return a.epoch - b.epoch || a.count - b.count;
 }
 
-/** Tells whether a revision is later than another. */
+/** Reports whether a revision is later than another. */
 export function isLater(revision: StoreRevision, other: StoreRevision): boolean {
   return compareRevisions(revision, other) > 0;
 }
--- a/packages/core/src/shared/suspects.test.ts
+++ b/packages/core/src/shared/suspects.test.ts
@@ -6,10 +6,10 @@
 
 const NOW = 1000;
 
-nodeTest.test('lists agree whatever the order and doubling of news', () => {
-  // Two processes hear the same news over different links: in another order,
-  // and some of it twice. Both must refuse, suspect and clear the same content.
-  const news = fastCheck.array(
+nodeTest.test('lists agree despite reordered and duplicate reports', () => {
+  // Two processes receive the same reports over different links, in a different order and some of
+  // them twice. Both must refuse, suspect and clear the same content.
+  const reports = fastCheck.array(
     fastCheck.record({
       contentDigest: fastCheck.constantFrom('a', 'b'),
       crashes: fastCheck.nat(2),
@@ -18,20 +18,20 @@
     }),
   );
   fastCheck.assert(
-    fastCheck.property(news, (given) => {
-      const heard = given.map((one) => schema.create(schema.SuspectSchema, one));
+    fastCheck.property(reports, (given) => {
+      const received = given.map((one) => schema.create(schema.SuspectSchema, one));
       const left = suspects.createSuspects();
       const right = suspects.createSuspects();
-      suspects.mergeSuspects(left, heard, NOW);
-      heard.toReversed().forEach((one) => suspects.mergeSuspects(right, [one, one], NOW));
+      suspects.mergeSuspects(left, received, NOW);
+      received.toReversed().forEach((one) => suspects.mergeSuspects(right, [one, one], NOW));
       assert.deepEqual(new Set(suspects.listSuspects(left)), new Set(suspects.listSuspects(right)));
-      assert.equal(suspects.mergeSuspects(left, heard, NOW), false);
+      assert.equal(suspects.mergeSuspects(left, received, NOW), false);
     }),
     { seed: 11 },
   );
 });
 
-nodeTest.test('the list is bounded and forgets, refused content last', () => {
+nodeTest.test('the list is bounded and expires, refused content last', () => {
   const list = suspects.createSuspects();
   suspects.recordCrash(list, 'poison', true, 1);
   suspects.recordCrash(list, 'poison', true, 2);
@@ -44,7 +44,7 @@
   assert.equal(suspects.isSuspect(list, 'poison'), false);
 });
 
-nodeTest.test('crashes in company never block', () => {
+nodeTest.test('crashes while other content ran never block', () => {
   const list = suspects.createSuspects();
   suspects.recordCrash(list, 'innocent', false, 1);
   suspects.recordCrash(list, 'innocent', false, 2);
