--- a/packages/proofs/src/scheduling-random.test.ts
+++ b/packages/proofs/src/scheduling-random.test.ts
@@ -10,10 +10,11 @@
 const SLOTS = 3;
 const ROUND_MS = 100;
 const ROUNDS = 60;
-/** Calls of one round at most, and the share of rounds with a fault. */
-const MOST_CALLS = 12;
+/** Upper bound (exclusive) of the calls in one round. */
+const MAX_CALLS_PER_ROUND = 12;
+/** Share of the rounds in which a fault is injected. */
 const FAULT_SHARE = 0.3;
-/** Time in which everything is settled after the last call, milliseconds. */
+/** Time after the last round in which every call ends, milliseconds. */
 const SETTLE_MS = 12_000;
 
 type Fleet = gatewayFleetState.GatewayFleet;
@@ -21,15 +22,15 @@
 
 const FAULTS: Fault[] = [
   (fleet, one) => gatewayFaults.restartGateway(fleet, one),
-  (fleet, one) => gatewayFaults.pauseGateway(fleet, one, 100 + 1500 * fleet.draw()),
-  (fleet, one, other) => gatewayFaults.setCut(fleet, one, other, true),
-  (fleet, one, other) => gatewayFaults.setCut(fleet, other, one, true),
-  (fleet) => fleet.cuts.clear(),
+  (fleet, one) => gatewayFaults.pauseGateway(fleet, one, 100 + 1500 * fleet.drawRandom()),
+  (fleet, one, other) => gatewayFaults.setPathBlocked(fleet, one, other, true),
+  (fleet, one, other) => gatewayFaults.setPathBlocked(fleet, other, one, true),
+  (fleet) => fleet.blockedPaths.clear(),
   (fleet) => fleet.states.forEach((_, index) => gatewayFaults.restartGateway(fleet, index)),
 ];
 
-/** Runs calls and faults by a seed, until all is settled; lists the calls by gateway life. */
-function runRandom(seed: number): {
+/** Runs random calls and faults from a seed until all calls have ended; returns their origins. */
+function runRandomFaults(seed: number): {
   fleet: Fleet;
   calls: Map<string, gatewayFleetState.CallOrigin>;
 } {
@@ -42,15 +43,15 @@
   });
   const calls = new Map<string, gatewayFleetState.CallOrigin>();
   for (let round = 0; round < ROUNDS; round += 1) {
-    const count = Math.floor(fleet.draw() * MOST_CALLS);
+    const count = Math.floor(fleet.drawRandom() * MAX_CALLS_PER_ROUND);
     for (let call = 0; call < count; call += 1) {
-      const index = Math.floor(fleet.draw() * GATEWAYS);
+      const index = Math.floor(fleet.drawRandom() * GATEWAYS);
       const { life } = fleet.states[index];
       calls.set(gatewayFleet.addCall(fleet, index, call % 3), { index, life });
     }
-    if (fleet.draw() < FAULT_SHARE) {
-      const [one, other] = [0, 0].map(() => Math.floor(fleet.draw() * GATEWAYS));
-      randomSource.drawFrom(fleet.draw, FAULTS)(fleet, one, other);
+    if (fleet.drawRandom() < FAULT_SHARE) {
+      const [one, other] = [0, 0].map(() => Math.floor(fleet.drawRandom() * GATEWAYS));
+      randomSource.drawFrom(fleet.drawRandom, FAULTS)(fleet, one, other);
     }
     gatewayFleet.runFleet(fleet, ROUND_MS);
   }
@@ -59,11 +60,11 @@
 }
 
 test('schedulers and gateways under random faults', () => {
-  // Gateways restart, alone and all at once, are suspended and cut off one way or both,
-  // while datagrams are lost. Each call of a gateway that lives on is settled once, sent
-  // or refused, in its time; none is sent twice or after it was refused.
+  // Gateways are restarted, one or all at once, suspended, and partitioned in one or both
+  // directions, while datagrams are lost. Each call of a gateway that was not restarted
+  // since is either sent or refused, in time and exactly once.
   for (let seed = 1; seed <= 12; seed += 1) {
-    const { fleet, calls } = runRandom(seed);
+    const { fleet, calls } = runRandomFaults(seed);
     const sent = fleet.sent.map(({ attemptId }) => attemptId);
     const refused = fleet.refused.map(({ attemptId }) => attemptId);
     const settled = [...sent, ...refused];
@@ -80,20 +81,20 @@
   }
 });
 
-test('places hold again once the faults are over', () => {
-  // After all of that a burst comes in at every gateway: the places of all hold exactly,
-  // so that no scheduler has kept a wrong count.
+test('places are exact again once the faults are over', () => {
+  // After the random faults a burst arrives at every gateway. The peak concurrency is exactly
+  // the number of places, which shows that no scheduler has kept a wrong count.
   for (let seed = 21; seed <= 24; seed += 1) {
-    const { fleet } = runRandom(seed);
-    fleet.cuts.clear();
+    const { fleet } = runRandomFaults(seed);
+    fleet.blockedPaths.clear();
     gatewayFleet.runFleet(fleet, 3000);
-    fleet.mostAtServer = 0;
+    fleet.peakConcurrency = 0;
     const before = fleet.sent.length;
     for (let call = 0; call < 60; call += 1) {
       gatewayFleet.addCall(fleet, call % GATEWAYS);
     }
     gatewayFleet.runFleet(fleet, 2000);
-    assert.equal(fleet.mostAtServer, SLOTS, `seed ${seed}`);
+    assert.equal(fleet.peakConcurrency, SLOTS, `seed ${seed}`);
     assert.ok(fleet.sent.length - before >= 40, `${fleet.sent.length - before}, seed ${seed}`);
   }
 });
--- a/packages/proofs/src/shed-checks.ts
+++ b/packages/proofs/src/shed-checks.ts
@@ -1,4 +1,4 @@
-/** Checks that what is shed is the least urgent of what a process holds unstarted. */
+/** Checks that a process sheds the least urgent of the requests that it has not started. */
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
 import * as checkers from './checker.js';
@@ -13,15 +13,15 @@
   schema.ResultCode.RETRY_BUDGET_SPENT,
 ]);
 
-/** Gets the tier rank of a call by the document in force at its entry. */
+/** Returns the tier rank of a call by the active document of its entry; -1 if unknown. */
 function getTierRank(entry: virtualProcesses.EntryProcess, call: virtualCallers.Call): number {
   const document = entry.state.documents.get(call.plan.service)?.document;
-  const token = virtualCallers.buildArrived(call).tokenSha256;
+  const token = virtualCallers.buildArrivedRequest(call).tokenSha256;
   const credential = document?.credentials.find((one) => one.tokenSha256 === token);
   return document?.tiers.indexOf(credential?.tier ?? '') ?? -1;
 }
 
-/** Checks that an entry which sheds a call holds no unplaced less urgent one. */
+/** Checks that an entry which sheds a call has no less urgent request waiting. */
 export function checkEntryShed(
   checker: checkers.Checker,
   entry: virtualProcesses.EntryProcess,
@@ -33,16 +33,21 @@
     return;
   }
   const rank = getTierRank(entry, call);
-  const lower = [...entry.state.requests.values()].filter(
+  const lessUrgent = [...entry.state.requests.values()].filter(
     (one) => one.status === core.RequestStatus.WAITING && one.tierRank > rank,
   );
-  checkers.expectThat(checker, lower.length === 0, invariant.Invariant.SHED_LEAST_URGENT, () => {
-    const kept = lower.map((one) => one.requestId).join(', ');
-    return `${entry.id} shed call ${call.callerId} of rank ${rank} and kept ${kept}`;
-  });
+  checkers.expectThat(
+    checker,
+    lessUrgent.length === 0,
+    invariant.Invariant.SHED_LEAST_URGENT,
+    () => {
+      const kept = lessUrgent.map((one) => one.requestId).join(', ');
+      return `${entry.id} shed call ${call.callerId} of rank ${rank} and kept ${kept}`;
+    },
+  );
 }
 
-/** Checks that an agent which sheds an attempt queues no less urgent one. */
+/** Checks that an agent which sheds an attempt has no less urgent one queued. */
 export function checkAgentShed(
   checker: checkers.Checker,
   agent: virtualProcesses.AgentProcess,
@@ -57,11 +62,16 @@
   if (rank === undefined || !SHED_CODES.has(code)) {
     return;
   }
-  const lower = [...agent.state.runs.values()].filter(
+  const lessUrgent = [...agent.state.runs.values()].filter(
     (one) => one.status === core.RunStatus.QUEUED && (one.offer?.tierRank ?? 0) > rank,
   );
-  checkers.expectThat(checker, lower.length === 0, invariant.Invariant.SHED_LEAST_URGENT, () => {
-    const kept = lower.map((one) => one.refKey).join(', ');
-    return `${agent.id} shed ${record?.refKey} of rank ${rank} and kept ${kept}`;
-  });
+  checkers.expectThat(
+    checker,
+    lessUrgent.length === 0,
+    invariant.Invariant.SHED_LEAST_URGENT,
+    () => {
+      const kept = lessUrgent.map((one) => one.refKey).join(', ');
+      return `${agent.id} shed ${record?.refKey} of rank ${rank} and kept ${kept}`;
+    },
+  );
 }
--- a/packages/proofs/src/whole-path.test.ts
+++ b/packages/proofs/src/whole-path.test.ts
@@ -7,8 +7,8 @@
 
 const SERVICE = 'brimwit';
 
-/** Starts platform, engine, agent and entry, each in its own process. */
-async function startAll(fleet: processFleet.Fleet): Promise<string> {
+/** Starts a platform, an engine, an agent and an entry, each in its own process. */
+async function startAll(fleet: processFleet.ProcessFleet): Promise<string> {
   const platform = await processFleet.startStandIn(fleet, 'platform', {});
   const engine = await processFleet.startStandIn(fleet, 'engine', {});
   const configurationUrl = `http://127.0.0.1:${platform.started.port}`;
@@ -36,7 +36,7 @@
   return `http://127.0.0.1:${entry.started.callerPort}`;
 }
 
-/** Asks for a chat completion. */
+/** Requests a chat completion. */
 async function sendChat(baseUrl: string, body: string, token = 'brim-stall') {
   const response = await undici.request(`${baseUrl}/v1/chat/completions`, {
     method: 'POST',
@@ -46,7 +46,7 @@
   return { status: response.statusCode, text: await response.body.text() };
 }
 
-nodeTest.test('whole path over four processes', async (context) => {
+nodeTest.test('request path through four processes', async (context) => {
   const fleet = processFleet.createFleet();
   context.after(() => processFleet.stopFleet(fleet));
   const baseUrl = await startAll(fleet);
