--- a/packages/proofs/src/leaving-statement-failures.test.ts
+++ b/packages/proofs/src/leaving-statement-failures.test.ts
@@ -124,8 +124,8 @@
 });
 
 test('next incarnation of a server that had left gets requests', () => {
-  // Guards against a leaving state that is applied to the next incarnation of the server, because a
-  // gateway that reads the store late still passes it on.
+  // Guards against a leaving state that is applied to the next incarnation of the server,
+  // because a gateway that reads the store late still passes it on.
   const fleet = createFleet(FLEET);
   runUntilStatement(fleet);
   runLoad(fleet, 500);
--- a/packages/proofs/src/mocks/gateway-fleet-configuration.ts
+++ b/packages/proofs/src/mocks/gateway-fleet-configuration.ts
@@ -5,7 +5,7 @@
 export const SERVICE = 'one';
 export const DEADLINE_MS = 10_000;
 const PATIENCE_MS = 3000;
-/** One route each; its path prefix is the urgency: `/0/` is the most urgent. */
+/** Urgencies of the routes; the path prefix of a route is its urgency, `/0/` the most urgent. */
 const URGENCIES = [0, 1, 2];
 
 /** Builds a configuration with one service, one workspace and a route for each urgency. */
--- a/packages/proofs/src/mocks/gateway-load.ts
+++ b/packages/proofs/src/mocks/gateway-load.ts
@@ -5,7 +5,7 @@
 
 const CALL_INTERVAL_MS = 5;
 
-/** Adds calls at all gateways in turn for a time; `injectFaults` runs before each step. */
+/** Adds calls at all gateways in turn for a time; `injectFaults` is called in each step. */
 export function runLoad(
   fleet: gatewayFleetState.GatewayFleet,
   durationMs: number,
--- a/packages/proofs/src/rate-limit-failures.test.ts
+++ b/packages/proofs/src/rate-limit-failures.test.ts
@@ -31,7 +31,7 @@
 }
 
 test('server that reports a rate limit gets no more than that', () => {
-  // Guards against placing requests by free places alone, which is many times the limit.
+  // Guards against placing requests only by free places, which allows many times the limit.
   const fleet = createFleet(FLEET);
   runLoad(fleet, 2000);
   fleet.rateLimits.set(LIMITED_SERVER, PER_SECOND);
