--- a/packages/proofs/src/invariants.ts
+++ b/packages/proofs/src/invariants.ts
@@ -119,18 +119,18 @@
   const who = `call ${call.callerId} (${payload.contentId})`;
   const isFinal = effect.kind === 'answerEnd' || effect.kind === 'answerFailure';
   const expectedFinals = isFinal ? 1 : 0;
-  const isFinalCountRight = call.finals.length === expectedFinals;
+  const isFinalCountRight = call.outcomes.length === expectedFinals;
   checkers.expectThat(
     checker,
     isFinalCountRight,
     invariant.Invariant.ONE_FINAL_ANSWER,
     () => `${who}: ${effect.kind}`,
   );
-  const complete = callPayload.buildWholeAnswer(payload);
+  const complete = callPayload.buildCompleteResponse(payload);
   const matchesPayload =
     effect.kind === 'answerEnd'
-      ? call.text === complete && call.heads === 1
-      : complete.startsWith(call.text) && call.heads <= 1;
+      ? call.text === complete && call.headCount === 1
+      : complete.startsWith(call.text) && call.headCount <= 1;
   checkers.expectThat(
     checker,
     matchesPayload,
@@ -247,9 +247,9 @@
 /** Checks, after a run, that each caller that did not disconnect got one final outcome. */
 export function checkEnd(checker: checkers.Checker): void {
   checker.fleet?.calls
-    .filter((call) => !call.left)
+    .filter((call) => !call.hasDisconnected)
     .forEach((call) => {
-      const count = call.finals.length;
+      const count = call.outcomes.length;
       const detail = () => `call ${call.callerId} through ${call.entryId}: ${count} final outcomes`;
       checkers.expectThat(checker, count === 1, invariant.Invariant.ONE_FINAL_ANSWER, detail);
     });
--- a/packages/proofs/src/keys-processes.test.ts
+++ b/packages/proofs/src/keys-processes.test.ts
@@ -76,7 +76,7 @@
 }
 
 /** Sends one request with an idempotency key and reads its response. */
-async function sendRequest(entry: processFleet.Running, key: string) {
+async function sendRequest(entry: processFleet.RunningProcess, key: string) {
   const url = `http://127.0.0.1:${entry.started.callerPort}/v1/chat/completions`;
   const response = await undici.request(url, {
     method: 'POST',
--- a/packages/proofs/src/mocks/fleet-links.ts
+++ b/packages/proofs/src/mocks/fleet-links.ts
@@ -22,7 +22,7 @@
   const connection = virtualNetwork.createConnection(fleet.network, ends);
   entry.links.set(backendServerId, connection);
   fleetState.schedule(fleet, 0, () =>
-    fleetState.runIn(fleet, entry, life, () =>
+    fleetState.runInProcess(fleet, entry, life, () =>
       fleet.applyEntry(entry, { kind: 'linkOpened', backendServerId }),
     ),
   );
@@ -41,7 +41,7 @@
   const { linkId } = connection;
   connection.agentOpen = true;
   agent.links.set(linkId, connection);
-  fleetState.runIn(fleet, agent, agent.life, () =>
+  fleetState.runInProcess(fleet, agent, agent.life, () =>
     fleet.applyAgent(agent, { kind: 'linkOpened', linkId }),
   );
 }
@@ -64,7 +64,7 @@
     if (agent?.links.get(linkId) !== connection) {
       return;
     }
-    fleetState.runIn(fleet, agent, agent.life, () => {
+    fleetState.runInProcess(fleet, agent, agent.life, () => {
       agent.links.delete(linkId);
       connection.agentOpen = false;
       fleet.applyAgent(agent, { kind: 'linkClosed', linkId });
@@ -97,7 +97,7 @@
     if (entry === undefined || entry.links.get(backendServerId) !== connection) {
       return;
     }
-    fleetState.runIn(fleet, entry, entry.life, () => {
+    fleetState.runInProcess(fleet, entry, entry.life, () => {
       if (entry.links.get(backendServerId) === connection) {
         entry.links.delete(backendServerId);
         connection.entryOpen = false;
@@ -140,7 +140,7 @@
   if (agent === undefined) {
     return;
   }
-  fleetState.runIn(fleet, agent, agent.life, () => {
+  fleetState.runInProcess(fleet, agent, agent.life, () => {
     if (agent.links.get(linkId) === connection) {
       fleet.applyAgent(agent, { kind: 'entryMessage', linkId, message });
     }
@@ -175,7 +175,7 @@
   if (entry === undefined) {
     return;
   }
-  fleetState.runIn(fleet, entry, entry.life, () => {
+  fleetState.runInProcess(fleet, entry, entry.life, () => {
     if (entry.links.get(backendServerId) === connection) {
       fleet.applyEntry(entry, { kind: 'agentMessage', backendServerId, message });
     }
@@ -188,7 +188,7 @@
   kind: string | undefined,
   deliver: () => void,
 ): void {
-  if (kind !== 'hello' && fleet.doubledShare > 0 && fleet.drawRandom() < fleet.doubledShare) {
+  if (kind !== 'hello' && fleet.duplicatedShare > 0 && fleet.drawRandom() < fleet.duplicatedShare) {
     fleetState.schedule(fleet, fleet.drawRandom() * MAX_DUPLICATE_DELAY_MS, deliver);
   }
 }
--- a/packages/proofs/src/mocks/fleet-state.ts
+++ b/packages/proofs/src/mocks/fleet-state.ts
@@ -47,7 +47,7 @@
   agents: Map<string, AgentProcess>;
   calls: virtualCallers.Call[];
   /** Share of the messages that links deliver a second time. */
-  doubledShare: number;
+  duplicatedShare: number;
   /** Number of events that the entry and agent cores have handled. */
   eventCount: number;
   /** Applies one event to an entry and carries out its effects. */
@@ -85,7 +85,7 @@
  * Runs an action in one incarnation of a process. A paused process runs it when it resumes;
  * a stopped process or a later incarnation drops it.
  */
-export function runIn(
+export function runInProcess(
   fleet: VirtualFleet,
   process: VirtualProcess,
   life: number,
--- a/packages/proofs/src/mocks/forwarder.ts
+++ b/packages/proofs/src/mocks/forwarder.ts
@@ -5,13 +5,13 @@
 export type Forwarder = {
   port: number;
   /** Silently drops all bytes on the existing connections; new connections work. */
-  silence: () => void;
+  blackhole: () => void;
   /** Silently drops all bytes on existing connections, and on new ones until `unblock`. */
   block: () => void;
   /** Forwards connections that are accepted from now on; earlier ones stay dead. */
   unblock: () => void;
   /** Forwards requests but drops responses on the existing connections. */
-  cutAnswers: () => void;
+  dropResponses: () => void;
   /** Resets the existing connections. */
   reset: () => void;
   /** Delays all bytes by a time in milliseconds; 0 ends the delay. */
@@ -93,7 +93,7 @@
   });
   return {
     port: (server.address() as net.AddressInfo).port,
-    silence,
+    blackhole: silence,
     block: () => {
       state.blocked = true;
       silence();
@@ -101,7 +101,7 @@
     unblock: () => {
       state.blocked = false;
     },
-    cutAnswers: () => state.pairs.forEach((pair) => Object.assign(pair, { passesNear: false })),
+    dropResponses: () => state.pairs.forEach((pair) => Object.assign(pair, { passesNear: false })),
     reset: () =>
       state.pairs.forEach(({ near, far }) => {
         near.resetAndDestroy();
