--- a/packages/measure/src/capacity/daemon-slopes.ts
+++ b/packages/measure/src/capacity/daemon-slopes.ts
@@ -116,7 +116,7 @@
 
 /** Measures daemons that have links and no requests. */
 async function measureIdleDaemons(): Promise<RestSlopes> {
-  const scene = await proofs.startScene({ runners: REST_SIZE, entries: REST_SIZE });
+  const scene = await proofs.startScene({ backendServers: REST_SIZE, entries: REST_SIZE });
   try {
     const seldom = await measureRest(scene, SELDOM_MS);
     const often = await measureRest(scene, OFTEN_MS);
@@ -138,7 +138,7 @@
 
 /** Measures one entry and one agent at work. */
 async function measureBusyDaemons(): Promise<Omit<DaemonSlopes, keyof RestSlopes>> {
-  const scene = await proofs.startScene({ runners: 1, entries: 1 });
+  const scene = await proofs.startScene({ backendServers: 1, entries: 1 });
   try {
     await measureRequests(scene, SHORT_TOKENS);
     const short = await measureRequests(scene, SHORT_TOKENS);
--- a/packages/proofs/src/whole-path.test.ts
+++ b/packages/proofs/src/end-to-end.test.ts
@@ -46,7 +46,7 @@
   return { status: response.statusCode, text: await response.body.text() };
 }
 
-nodeTest.test('request path through four processes', async (context) => {
+nodeTest.test('end to end through four processes', async (context) => {
   const fleet = processFleet.createFleet();
   context.after(() => processFleet.stopFleet(fleet));
   const baseUrl = await startAll(fleet);
--- a/packages/proofs/src/failures-configuration.test.ts
+++ b/packages/proofs/src/failures-configuration.test.ts
@@ -74,16 +74,16 @@
 // document. The entry still learns a new credential from the agents and serves its
 // callers, and the older document never becomes active again.
 nodeTest.test('configuration service unavailable, then outdated', async (context) => {
-  const scene = await processFixture.createProcessFixture();
-  context.after(() => processFixture.stopProcessFixture(scene));
-  await processFixture.addBackendServer(scene);
-  const first = JSON.stringify(processFixture.buildNextDocument(scene));
-  scene.platform.publish(processFixture.SERVICE, first);
+  const fixture = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(fixture));
+  await processFixture.addBackendServer(fixture);
+  const first = JSON.stringify(processFixture.buildNextDocument(fixture));
+  fixture.platform.publish(processFixture.SERVICE, first);
   const service = await startStaleService(context, first);
-  const entry = await processFixture.addEntry(scene, service);
+  const entry = await processFixture.addEntry(fixture, service);
 
   service.setOutage(true);
-  processFixture.publishNext(scene, WITH_NEW_TOKEN);
+  processFixture.publishNext(fixture, WITH_NEW_TOKEN);
   await waitForVersion(entry, 2);
   const request = { prompt: 'new token', token: NEW_TOKEN };
   const during = await processFixture.sendChat(entry, request);
@@ -102,23 +102,23 @@
 // service: one the higher version, the other the lower. Every process ends with
 // the higher version, whichever it read first, and none returns to a lower one.
 nodeTest.test('two operators publish at the same time', async (context) => {
-  const scene = await processFixture.createProcessFixture();
-  context.after(() => processFixture.stopProcessFixture(scene));
-  const runner = await processFixture.addBackendServer(scene);
+  const fixture = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(fixture));
+  const backendServer = await processFixture.addBackendServer(fixture);
   const platform = await standIns.startPlatform();
   context.after(() => platform.stop());
-  const first = JSON.stringify(processFixture.buildNextDocument(scene));
-  scene.platform.publish(processFixture.SERVICE, first);
+  const first = JSON.stringify(processFixture.buildNextDocument(fixture));
+  fixture.platform.publish(processFixture.SERVICE, first);
   platform.publish(processFixture.SERVICE, first);
-  const near = await processFixture.addEntry(scene);
-  const far = await processFixture.addEntry(scene, platform);
-  const processes = [runner.agent, near, far];
+  const near = await processFixture.addEntry(fixture);
+  const far = await processFixture.addEntry(fixture, platform);
+  const processes = [backendServer.agent, near, far];
   await Promise.all(processes.map((one) => waitForVersion(one, 1)));
 
-  const lower = JSON.stringify(processFixture.buildNextDocument(scene));
-  const higher = JSON.stringify(processFixture.buildNextDocument(scene, WITH_NEW_TOKEN));
+  const lower = JSON.stringify(processFixture.buildNextDocument(fixture));
+  const higher = JSON.stringify(processFixture.buildNextDocument(fixture, WITH_NEW_TOKEN));
   platform.publish(processFixture.SERVICE, higher);
-  scene.platform.publish(processFixture.SERVICE, lower);
+  fixture.platform.publish(processFixture.SERVICE, lower);
   await Promise.all(processes.map((one) => waitForVersion(one, 3)));
 
   const request = { prompt: 'new token', token: NEW_TOKEN };
--- a/packages/proofs/src/failures-load.test.ts
+++ b/packages/proofs/src/failures-load.test.ts
@@ -18,14 +18,14 @@
 
 /** Asserts that a request got a complete response from a single run. */
 function expectCompleteResponse(
-  scene: processFixture.ProcessFixture,
+  fixture: processFixture.ProcessFixture,
   request: processFixture.ChatOptions,
-  answer: processFixture.ChatResponse,
+  response: processFixture.ChatResponse,
 ): void {
-  assert.equal(answer.status, 200, answer.text);
-  assert.equal(answer.broken, false);
-  assert.equal(processFixture.readWords(answer), processFixture.buildExpectedWords(request));
-  assert.equal(processFixture.countStarts(scene, request), 1);
+  assert.equal(response.status, 200, response.text);
+  assert.equal(response.broken, false);
+  assert.equal(processFixture.readWords(response), processFixture.buildExpectedWords(request));
+  assert.equal(processFixture.countStarts(fixture, request), 1);
 }
 
 // An agent gets SIGTERM while it runs streamed requests and has others queued. Every
@@ -33,34 +33,42 @@
 // placed on another backend server. The process then exits with code 0.
 nodeTest.test('SIGTERM to an agent under load', async (context) => {
   const limits = { limits: { maxRunning: 2 } };
-  const scene = await processFixture.startProcessFixture({ runners: 2, entries: 1 }, SLOW, limits);
-  context.after(() => processFixture.stopProcessFixture(scene));
+  const fixture = await processFixture.startProcessFixture(
+    { backendServers: 2, entries: 1 },
+    SLOW,
+    limits,
+  );
+  context.after(() => processFixture.stopProcessFixture(fixture));
   const requests = buildRequests('load', 10, { tokens: 30, stream: true });
-  const pending = requests.map((one) => processFixture.sendChat(scene.entries[0], one));
-  const { agent } = scene.backendServers[0];
+  const pending = requests.map((one) => processFixture.sendChat(fixture.entries[0], one));
+  const { agent } = fixture.backendServers[0];
   await agent.waitForLine((line) => line.event === 'start');
   agent.child.kill('SIGTERM');
 
-  const answers = await Promise.all(pending);
-  answers.forEach((answer, index) => expectCompleteResponse(scene, requests[index], answer));
+  const responses = await Promise.all(pending);
+  responses.forEach((response, index) =>
+    expectCompleteResponse(fixture, requests[index], response),
+  );
   assert.equal(await processFixture.waitForExit(agent), 0);
   const after = { prompt: 'after' };
-  expectCompleteResponse(scene, after, await processFixture.sendChat(scene.entries[0], after));
+  expectCompleteResponse(fixture, after, await processFixture.sendChat(fixture.entries[0], after));
 });
 
 // An entry gets SIGTERM while its callers wait for streamed responses. They get
 // complete responses; new callers are refused. The process then exits with code 0.
 nodeTest.test('SIGTERM to an entry under load', async (context) => {
-  const scene = await processFixture.startProcessFixture({ runners: 1, entries: 1 }, SLOW);
-  context.after(() => processFixture.stopProcessFixture(scene));
-  const [entry] = scene.entries;
+  const fixture = await processFixture.startProcessFixture({ backendServers: 1, entries: 1 }, SLOW);
+  context.after(() => processFixture.stopProcessFixture(fixture));
+  const [entry] = fixture.entries;
   const requests = buildRequests('load', 6, { tokens: 40, stream: true });
   const pending = requests.map((one) => processFixture.sendChat(entry, one));
-  await Promise.all(requests.map((one) => processFixture.waitForStart(scene, one)));
+  await Promise.all(requests.map((one) => processFixture.waitForStart(fixture, one)));
   entry.child.kill('SIGTERM');
 
-  const answers = await Promise.all(pending);
-  answers.forEach((answer, index) => expectCompleteResponse(scene, requests[index], answer));
+  const responses = await Promise.all(pending);
+  responses.forEach((response, index) =>
+    expectCompleteResponse(fixture, requests[index], response),
+  );
   assert.equal(await processFixture.waitForExit(entry), 0);
 });
 
@@ -70,20 +78,26 @@
 // and was indeed not run.
 nodeTest.test('burst at three times capacity', async (context) => {
   const limits = { limits: { maxRunning: 2, maxQueued: 8, maxWaiting: 8 } };
-  const scene = await processFixture.startProcessFixture({ runners: 1, entries: 1 }, SLOW, limits);
-  context.after(() => processFixture.stopProcessFixture(scene));
+  const fixture = await processFixture.startProcessFixture(
+    { backendServers: 1, entries: 1 },
+    SLOW,
+    limits,
+  );
+  context.after(() => processFixture.stopProcessFixture(fixture));
   const drafts = buildRequests('draft', 24, { token: 'band-draft', tokens: 10 });
   const urgent = buildRequests('stall', 6, { tokens: 10 });
   const sendAll = (requests: processFixture.ChatOptions[]) =>
-    Promise.all(requests.map((one) => processFixture.sendChat(scene.entries[0], one)));
-  const [draftAnswers, urgentAnswers] = await Promise.all([sendAll(drafts), sendAll(urgent)]);
+    Promise.all(requests.map((one) => processFixture.sendChat(fixture.entries[0], one)));
+  const [draftResponses, urgentResponses] = await Promise.all([sendAll(drafts), sendAll(urgent)]);
 
-  urgentAnswers.forEach((answer, index) => expectCompleteResponse(scene, urgent[index], answer));
-  const shed = draftAnswers.filter((answer) => answer.status !== 200);
+  urgentResponses.forEach((response, index) =>
+    expectCompleteResponse(fixture, urgent[index], response),
+  );
+  const shed = draftResponses.filter((response) => response.status !== 200);
   assert.ok(shed.length > 0);
-  shed.forEach((answer) => assert.equal(processFixture.readRunState(answer), 'not_run'));
-  draftAnswers.forEach((answer, index) => {
-    const starts = processFixture.countStarts(scene, drafts[index]);
-    assert.equal(starts, answer.status === 200 ? 1 : 0);
+  shed.forEach((response) => assert.equal(processFixture.readRunState(response), 'not_run'));
+  draftResponses.forEach((response, index) => {
+    const starts = processFixture.countStarts(fixture, drafts[index]);
+    assert.equal(starts, response.status === 200 ? 1 : 0);
   });
 });
--- a/packages/proofs/src/failures-network.test.ts
+++ b/packages/proofs/src/failures-network.test.ts
@@ -7,9 +7,11 @@
 const SLOW = { stepMs: 20 };
 
 /** Starts a forwarder in front of an agent; later documents give its address for the agent. */
-async function addForwarder(runner: processFixture.TestBackendServer): Promise<forwarder.Forwarder> {
-  const forward = await forwarder.startForwarder(runner.agent.started.linkPort as number);
-  runner.address = `127.0.0.1:${forward.port}`;
+async function addForwarder(
+  backendServer: processFixture.TestBackendServer,
+): Promise<forwarder.Forwarder> {
+  const forward = await forwarder.startForwarder(backendServer.agent.started.linkPort as number);
+  backendServer.address = `127.0.0.1:${forward.port}`;
   return forward;
 }
 
@@ -17,24 +19,24 @@
 // bytes are lost and neither end is notified. The caller still gets the complete
 // response, over a new connection, and the engine runs the request once.
 nodeTest.test('connection goes silent', async (context) => {
-  const scene = await processFixture.createProcessFixture();
-  context.after(() => processFixture.stopProcessFixture(scene));
-  const forward = await addForwarder(await processFixture.addBackendServer(scene, SLOW));
+  const fixture = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(fixture));
+  const forward = await addForwarder(await processFixture.addBackendServer(fixture, SLOW));
   context.after(() => forward.stop());
-  processFixture.publishNext(scene);
-  const entry = await processFixture.addEntry(scene);
+  processFixture.publishNext(fixture);
+  const entry = await processFixture.addEntry(fixture);
   const request = { prompt: 'silent', tokens: 60, stream: true };
   const pending = processFixture.sendChat(entry, request);
-  await processFixture.waitForStart(scene, request);
+  await processFixture.waitForStart(fixture, request);
   const before = forward.countConnections();
   forward.blackhole();
 
-  const answer = await pending;
-  assert.equal(answer.status, 200);
-  assert.equal(processFixture.readWords(answer), processFixture.buildExpectedWords(request));
-  assert.ok(answer.text.endsWith('data: [DONE]\n\n'));
+  const response = await pending;
+  assert.equal(response.status, 200);
+  assert.equal(processFixture.readWords(response), processFixture.buildExpectedWords(request));
+  assert.ok(response.text.endsWith('data: [DONE]\n\n'));
   assert.ok(forward.countConnections() > before);
-  assert.equal(processFixture.countStarts(scene, request), 1);
+  assert.equal(processFixture.countStarts(fixture, request), 1);
 });
 
 // One of two entries is partitioned from the backend server while both keep running.
@@ -43,40 +45,43 @@
 // serves again after the partition, once its link is restored; until then it reports
 // at once that requests were not run.
 nodeTest.test('one entry partitioned from the backend server', async (context) => {
-  const scene = await processFixture.createProcessFixture();
-  context.after(() => processFixture.stopProcessFixture(scene));
-  const runner = await processFixture.addBackendServer(scene, SLOW);
-  const direct = runner.address;
-  processFixture.publishNext(scene);
-  const near = await processFixture.addEntry(scene);
+  const fixture = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(fixture));
+  const backendServer = await processFixture.addBackendServer(fixture, SLOW);
+  const direct = backendServer.address;
+  processFixture.publishNext(fixture);
+  const near = await processFixture.addEntry(fixture);
   // The entry that will be partitioned reads a document with the forwarder's address.
-  const forward = await addForwarder(runner);
+  const forward = await addForwarder(backendServer);
   context.after(() => forward.stop());
   const platform = await standIns.startPlatform();
   context.after(() => platform.stop());
-  scene.version -= 1;
-  platform.publish(processFixture.SERVICE, JSON.stringify(processFixture.buildNextDocument(scene)));
-  const far = await processFixture.addEntry(scene, platform);
-  runner.address = direct;
+  fixture.version -= 1;
+  platform.publish(
+    processFixture.SERVICE,
+    JSON.stringify(processFixture.buildNextDocument(fixture)),
+  );
+  const far = await processFixture.addEntry(fixture, platform);
+  backendServer.address = direct;
   const warm = { prompt: 'warm' };
   assert.equal((await processFixture.sendChat(far, warm)).status, 200);
 
   forward.block();
   const cut = { prompt: 'cut', timeoutMs: 3000 };
   const reachable = { prompt: 'reachable', tokens: 20 };
-  const [answer, other] = await Promise.all([
+  const [response, other] = await Promise.all([
     processFixture.sendChat(far, cut),
     processFixture.sendChat(near, reachable),
   ]);
   assert.equal(processFixture.readWords(other), processFixture.buildExpectedWords(reachable));
-  const runState = processFixture.readRunState(answer);
-  assert.ok(['not_run', 'may_have_run'].includes(runState), answer.text);
+  const runState = processFixture.readRunState(response);
+  assert.ok(['not_run', 'may_have_run'].includes(runState), response.text);
 
   forward.unblock();
   const healed = { prompt: 'healed' };
   const later = await processFixture.sendUntilServed(far, healed);
   assert.equal(processFixture.readWords(later), processFixture.buildExpectedWords(healed));
-  assert.equal(processFixture.countStarts(scene, healed), 1);
-  const starts = processFixture.countStarts(scene, cut);
+  assert.equal(processFixture.countStarts(fixture, healed), 1);
+  const starts = processFixture.countStarts(fixture, cut);
   assert.ok(runState === 'not_run' ? starts === 0 : starts <= 1);
 });
--- a/packages/proofs/src/failures-poison.test.ts
+++ b/packages/proofs/src/failures-poison.test.ts
@@ -12,33 +12,33 @@
 // the other entry each time. After two crashes its content is refused everywhere
 // and reported as not run; the other backend servers continue to serve.
 nodeTest.test('poison request resent through two entries', async (context) => {
-  const scene = await processFixture.createProcessFixture();
-  context.after(() => processFixture.stopProcessFixture(scene));
-  const digestKeyFile = path.join(scene.fleet.folder, 'digest-key');
+  const fixture = await processFixture.createProcessFixture();
+  context.after(() => processFixture.stopProcessFixture(fixture));
+  const digestKeyFile = path.join(fixture.fleet.folder, 'digest-key');
   fs.writeFileSync(digestKeyFile, 'a key for tests');
-  while (scene.backendServers.length < MAX_CRASHES + 2) {
-    await processFixture.addBackendServer(scene);
+  while (fixture.backendServers.length < MAX_CRASHES + 2) {
+    await processFixture.addBackendServer(fixture);
   }
-  processFixture.publishNext(scene);
+  processFixture.publishNext(fixture);
   const entries = [
-    await processFixture.addEntry(scene, scene.platform, { digestKeyFile }),
-    await processFixture.addEntry(scene, scene.platform, { digestKeyFile }),
+    await processFixture.addEntry(fixture, fixture.platform, { digestKeyFile }),
+    await processFixture.addEntry(fixture, fixture.platform, { digestKeyFile }),
   ];
   const poison = { prompt: standIns.CRASH_MARK, timeoutMs: 5000 };
-  const answers: processFixture.ChatResponse[] = [];
-  while (answers.length < MAX_RESENDS && answers.at(-1)?.status !== 422) {
-    answers.push(await processFixture.sendChat(entries[answers.length % 2], poison));
+  const responses: processFixture.ChatResponse[] = [];
+  while (responses.length < MAX_RESENDS && responses.at(-1)?.status !== 422) {
+    responses.push(await processFixture.sendChat(entries[responses.length % 2], poison));
   }
 
-  const runStates = answers.map((answer) => processFixture.readRunState(answer));
-  assert.equal(answers.at(-1)?.status, 422, JSON.stringify(answers));
+  const runStates = responses.map((response) => processFixture.readRunState(response));
+  assert.equal(responses.at(-1)?.status, 422, JSON.stringify(responses));
   assert.equal(
     runStates.filter((state) => state !== 'not_run').length,
     MAX_CRASHES,
     runStates.join(),
   );
-  assert.equal(processFixture.countStarts(scene, poison), MAX_CRASHES);
+  assert.equal(processFixture.countStarts(fixture, poison), MAX_CRASHES);
   const other = { prompt: 'harmless' };
-  const answer = await processFixture.sendChat(entries[0], other);
-  assert.equal(processFixture.readWords(answer), processFixture.buildExpectedWords(other));
+  const response = await processFixture.sendChat(entries[0], other);
+  assert.equal(processFixture.readWords(response), processFixture.buildExpectedWords(other));
 });
--- a/packages/proofs/src/index.ts
+++ b/packages/proofs/src/index.ts
@@ -1,4 +1,4 @@
-/** The virtual fleet, for proofs and measurements. */
+/** Exports the virtual fleet and the process fixture, for measurements. */
 export * from './mocks/call-payload.js';
 export * from './mocks/example-document.js';
 export * from './mocks/fleet-processes.js';
--- a/packages/proofs/src/invariants.ts
+++ b/packages/proofs/src/invariants.ts
@@ -118,11 +118,11 @@
   const { payload } = call.plan;
   const who = `call ${call.callerId} (${payload.contentId})`;
   const isFinal = effect.kind === 'answerEnd' || effect.kind === 'answerFailure';
-  const expectedFinals = isFinal ? 1 : 0;
-  const isFinalCountRight = call.outcomes.length === expectedFinals;
+  const expectedOutcomes = isFinal ? 1 : 0;
+  const isOutcomeCountRight = call.outcomes.length === expectedOutcomes;
   checkers.expectThat(
     checker,
-    isFinalCountRight,
+    isOutcomeCountRight,
     invariant.Invariant.ONE_FINAL_ANSWER,
     () => `${who}: ${effect.kind}`,
   );
--- a/packages/proofs/src/mocks/forwarder.ts
+++ b/packages/proofs/src/mocks/forwarder.ts
@@ -83,7 +83,7 @@
     delayMs: 0,
     connections: 0,
   };
-  const silence = () =>
+  const blackhole = () =>
     state.pairs.forEach((pair) => Object.assign(pair, { passesNear: false, passesFar: false }));
   const server = net.createServer({ allowHalfOpen: true }, (near) =>
     accept(state, near, targetHost, targetPort),
@@ -93,10 +93,10 @@
   });
   return {
     port: (server.address() as net.AddressInfo).port,
-    blackhole: silence,
+    blackhole: blackhole,
     block: () => {
       state.blocked = true;
-      silence();
+      blackhole();
     },
     unblock: () => {
       state.blocked = false;
--- a/packages/proofs/src/mocks/process-fixture.ts
+++ b/packages/proofs/src/mocks/process-fixture.ts
@@ -73,23 +73,23 @@
 }
 
 /** Stops all processes and the platform. */
-export function stopProcessFixture(scene: ProcessFixture): void {
-  processFleet.stopFleet(scene.fleet);
-  scene.platform.stop();
+export function stopProcessFixture(fixture: ProcessFixture): void {
+  processFleet.stopFleet(fixture.fleet);
+  fixture.platform.stop();
 }
 
 /** Starts an agent process. */
 export function startAgent(
-  scene: ProcessFixture,
+  fixture: ProcessFixture,
   id: string,
   enginePort: unknown,
   overrides: Record<string, unknown> = {},
 ): Promise<processFleet.RunningProcess> {
-  return processFleet.startDaemon(scene.fleet, 'agent', {
+  return processFleet.startDaemon(fixture.fleet, 'agent', {
     backendServerId: id,
     service: SERVICE,
     failureDomain: 'suva-loft',
-    platform: { configurationUrl: getPlatformUrl(scene.platform) },
+    platform: { configurationUrl: getPlatformUrl(fixture.platform) },
     engineUrl: `http://127.0.0.1:${enginePort}`,
     ...overrides,
   });
@@ -97,36 +97,39 @@
 
 /** Adds a backend server: an engine with its agent. */
 export async function addBackendServer(
-  scene: ProcessFixture,
+  fixture: ProcessFixture,
   engineOptions: Record<string, unknown> = {},
 ): Promise<TestBackendServer> {
-  const id = `runner-${scene.backendServers.length + 1}`;
-  const journalFile = path.join(scene.fleet.folder, `${id}.journal`);
+  const id = `runner-${fixture.backendServers.length + 1}`;
+  const journalFile = path.join(fixture.fleet.folder, `${id}.journal`);
   fs.writeFileSync(journalFile, '');
   const options = { journalFile, ...engineOptions };
-  const engine = await processFleet.startStandIn(scene.fleet, 'engine', options);
-  const agent = await startAgent(scene, id, engine.started.port);
+  const engine = await processFleet.startStandIn(fixture.fleet, 'engine', options);
+  const agent = await startAgent(fixture, id, engine.started.port);
   const address = `127.0.0.1:${agent.started.linkPort}`;
-  const runner = { id, engine, agent, journalFile, address };
-  scene.backendServers.push(runner);
-  return runner;
+  const backendServer = { id, engine, agent, journalFile, address };
+  fixture.backendServers.push(backendServer);
+  return backendServer;
 }
 
 /** Builds the next version of the document, with all backend servers of the fixture. */
 export function buildNextDocument(
-  scene: ProcessFixture,
+  fixture: ProcessFixture,
   overrides: Record<string, unknown> = {},
 ): Record<string, unknown> {
-  scene.version += 1;
-  return exampleDocument.buildDocument(SERVICE, scene.version, scene.backendServers, {
+  fixture.version += 1;
+  return exampleDocument.buildDocument(SERVICE, fixture.version, fixture.backendServers, {
     timing: TIMING,
     ...overrides,
   });
 }
 
 /** Publishes the next version of the document. */
-export function publishNext(scene: ProcessFixture, overrides: Record<string, unknown> = {}): void {
-  scene.platform.publish(SERVICE, JSON.stringify(buildNextDocument(scene, overrides)));
+export function publishNext(
+  fixture: ProcessFixture,
+  overrides: Record<string, unknown> = {},
+): void {
+  fixture.platform.publish(SERVICE, JSON.stringify(buildNextDocument(fixture, overrides)));
 }
 
 /** Counts the backend servers that an entry has a live link to. */
@@ -139,21 +142,21 @@
 
 /** Adds an entry and waits until it has a live link to every backend server. */
 export async function addEntry(
-  scene: ProcessFixture,
-  platform: { port: number } = scene.platform,
+  fixture: ProcessFixture,
+  platform: { port: number } = fixture.platform,
   overrides: Record<string, unknown> = {},
 ): Promise<processFleet.RunningProcess> {
-  const entry = await processFleet.startDaemon(scene.fleet, 'entry', {
-    entryId: `entry-${scene.entries.length + 1}`,
+  const entry = await processFleet.startDaemon(fixture.fleet, 'entry', {
+    entryId: `entry-${fixture.entries.length + 1}`,
     failureDomain: 'suva-loft',
     services: [SERVICE],
     platform: { configurationUrl: getPlatformUrl(platform) },
     ...overrides,
   });
-  scene.entries.push(entry);
+  fixture.entries.push(entry);
   await entry.waitForLine((line) => line.event === 'document');
   const untilMs = Date.now() + WAIT_MS;
-  while ((await countLinks(entry)) < scene.backendServers.length) {
+  while ((await countLinks(entry)) < fixture.backendServers.length) {
     if (Date.now() > untilMs) {
       throw new Error('timed out waiting for links to all backend servers');
     }
@@ -164,19 +167,19 @@
 
 /** Starts a fixture with the given numbers of backend servers and entries. */
 export async function startProcessFixture(
-  size: { runners: number; entries: number },
+  size: { backendServers: number; entries: number },
   engineOptions: Record<string, unknown> = {},
   overrides: Record<string, unknown> = {},
 ): Promise<ProcessFixture> {
-  const scene = await createProcessFixture();
-  while (scene.backendServers.length < size.runners) {
-    await addBackendServer(scene, engineOptions);
+  const fixture = await createProcessFixture();
+  while (fixture.backendServers.length < size.backendServers) {
+    await addBackendServer(fixture, engineOptions);
   }
-  publishNext(scene, overrides);
-  while (scene.entries.length < size.entries) {
-    await addEntry(scene);
+  publishNext(fixture, overrides);
+  while (fixture.entries.length < size.entries) {
+    await addEntry(fixture);
   }
-  return scene;
+  return fixture;
 }
 
 /** Builds the body of a chat request. */
@@ -249,10 +252,10 @@
 }
 
 /** Reads the lines of all journals that belong to one request, or all lines. */
-export function readJournals(scene: ProcessFixture, options?: ChatOptions): JournalLine[] {
-  const lines = scene.backendServers.flatMap((runner) =>
+export function readJournals(fixture: ProcessFixture, options?: ChatOptions): JournalLine[] {
+  const lines = fixture.backendServers.flatMap((backendServer) =>
     fs
-      .readFileSync(runner.journalFile, 'utf8')
+      .readFileSync(backendServer.journalFile, 'utf8')
       .split('\n')
       .filter((line) => line !== '')
       .map((line) => JSON.parse(line) as JournalLine),
@@ -262,13 +265,13 @@
 }
 
 /** Counts how often a request was started on any engine. */
-export function countStarts(scene: ProcessFixture, options: ChatOptions): number {
-  return readJournals(scene, options).filter((line) => line.event === 'start').length;
+export function countStarts(fixture: ProcessFixture, options: ChatOptions): number {
+  return readJournals(fixture, options).filter((line) => line.event === 'start').length;
 }
 
 /** Waits until an engine has started a request. */
-export function waitForStart(scene: ProcessFixture, options: ChatOptions): Promise<void> {
-  return waitUntil(`start of "${options.prompt}"`, () => countStarts(scene, options) > 0);
+export function waitForStart(fixture: ProcessFixture, options: ChatOptions): Promise<void> {
+  return waitUntil(`start of "${options.prompt}"`, () => countStarts(fixture, options) > 0);
 }
 
 /** Waits until a process has exited and returns its exit code; null after a signal. */
--- a/packages/proofs/src/mocks/virtual-callers.ts
+++ b/packages/proofs/src/mocks/virtual-callers.ts
@@ -80,8 +80,8 @@
 }
 
 /** Records how and when a call ended. */
-export function recordOutcome(call: Call, final: CallOutcome, now: number): void {
-  call.outcomes.push(final);
+export function recordOutcome(call: Call, outcome: CallOutcome, now: number): void {
+  call.outcomes.push(outcome);
   call.endedMs = now;
 }
 
