--- a/packages/measure/src/capacity/daemon-slopes.ts
+++ b/packages/measure/src/capacity/daemon-slopes.ts
@@ -31,7 +31,7 @@
 const EARLY_MS = 20;
 
 /** Lists the processes that are measured, by role. */
-function listRoles(scene: proofs.Scene): Record<string, number[]> {
+function listRoles(scene: proofs.ProcessFixture): Record<string, number[]> {
   return {
     entry: scene.entries.map((entry) => entry.child.pid ?? 0),
     agent: scene.backendServers.map((runner) => runner.agent.child.pid ?? 0),
@@ -45,7 +45,7 @@
 
 /** Measures the processor time that some work takes, by role, milliseconds. */
 async function measureSpent(
-  scene: proofs.Scene,
+  scene: proofs.ProcessFixture,
   work: () => Promise<void>,
 ): Promise<Record<string, number>> {
   const roles = listRoles(scene);
@@ -59,7 +59,7 @@
 }
 
 /** Sends streamed requests, a few at a time; throws where one is not served. */
-async function sendMany(scene: proofs.Scene, tokens: number): Promise<void> {
+async function sendMany(scene: proofs.ProcessFixture, tokens: number): Promise<void> {
   let left = REQUESTS;
   const sendOnes = async () => {
     while (left > 0) {
@@ -78,7 +78,7 @@
 }
 
 /** Measures requests of one length. */
-async function measureRequests(scene: proofs.Scene, tokens: number): Promise<Measured> {
+async function measureRequests(scene: proofs.ProcessFixture, tokens: number): Promise<Measured> {
   const spent = await measureSpent(scene, () => sendMany(scene, tokens));
   return { requests: REQUESTS, tokens, spent };
 }
@@ -93,7 +93,7 @@
 
 /** Measures the share of a core that a process takes at rest, by role. */
 async function measureRest(
-  scene: proofs.Scene,
+  scene: proofs.ProcessFixture,
   intervalMs: number,
 ): Promise<Record<string, number>> {
   const timing = {
@@ -116,7 +116,7 @@
 
 /** Measures daemons that have links and no requests. */
 async function measureIdleDaemons(): Promise<RestSlopes> {
-  const scene = await proofs.startScene({ backendServers: REST_SIZE, entries: REST_SIZE });
+  const scene = await proofs.startProcessFixture({ backendServers: REST_SIZE, entries: REST_SIZE });
   try {
     const seldom = await measureRest(scene, SELDOM_MS);
     const often = await measureRest(scene, OFTEN_MS);
@@ -132,13 +132,13 @@
     );
     return { restShare, perHeartbeat };
   } finally {
-    proofs.stopScene(scene);
+    proofs.stopProcessFixture(scene);
   }
 }
 
 /** Measures one entry and one agent at work. */
 async function measureBusyDaemons(): Promise<Omit<DaemonSlopes, keyof RestSlopes>> {
-  const scene = await proofs.startScene({ backendServers: 1, entries: 1 });
+  const scene = await proofs.startProcessFixture({ backendServers: 1, entries: 1 });
   try {
     await measureRequests(scene, SHORT_TOKENS);
     const short = await measureRequests(scene, SHORT_TOKENS);
@@ -155,7 +155,7 @@
       residentBytes,
     };
   } finally {
-    proofs.stopScene(scene);
+    proofs.stopProcessFixture(scene);
   }
 }
 
--- a/packages/measure/src/real-load.ts
+++ b/packages/measure/src/real-load.ts
@@ -22,12 +22,12 @@
 }
 
 /** Starts the processes of a deployment. */
-async function startDeployment(deployment: deployments.Deployment): Promise<proofs.Scene> {
-  const scene = await proofs.createScene();
+async function startDeployment(deployment: deployments.Deployment): Promise<proofs.ProcessFixture> {
+  const scene = await proofs.createProcessFixture();
   while (scene.backendServers.length < deployment.agents) {
     const speed = deployment.speeds[scene.backendServers.length % deployment.speeds.length];
     const { stepMs, prefillTokensPerStep, maxBatch } = speed;
-    await proofs.addRunner(scene, { stepMs, prefillTokensPerStep, maxBatch });
+    await proofs.addBackendServer(scene, { stepMs, prefillTokensPerStep, maxBatch });
   }
   proofs.publishNext(scene, {
     timing: { heartbeatIntervalMs: 500, heartbeatTimeoutMs: 2000 },
@@ -40,7 +40,7 @@
 }
 
 /** Sends one request at its time and notes what its caller got. */
-async function sendOne(scene: proofs.Scene, arrival: arrivals.Arrival): Promise<Outcome> {
+async function sendOne(scene: proofs.ProcessFixture, arrival: arrivals.Arrival): Promise<Outcome> {
   await new Promise((resolve) => {
     setTimeout(resolve, arrival.atMs);
   });
@@ -80,7 +80,7 @@
       print(`  real    ${formatTier(tier, done.length, own.length, times)}`);
     });
   } finally {
-    proofs.stopScene(scene);
+    proofs.stopProcessFixture(scene);
   }
 }
 
--- a/packages/proofs/src/index.ts
+++ b/packages/proofs/src/index.ts
@@ -14,12 +14,12 @@
 export type { FaultSpec } from './random-runs/scenario.js';
 export {
   addEntry,
-  addBackendServer as addRunner,
-  createProcessFixture as createScene,
+  addBackendServer,
+  createProcessFixture,
   publishNext,
   sendChat,
-  startProcessFixture as startScene,
-  stopProcessFixture as stopScene,
-  type ProcessFixture as Scene,
+  startProcessFixture,
+  stopProcessFixture,
+  type ProcessFixture,
 } from './mocks/process-fixture.js';
-export type { RunningProcess as Running } from './mocks/process-fleet.js';
+export type { RunningProcess } from './mocks/process-fleet.js';
--- a/packages/proofs/src/mocks/forwarder.ts
+++ b/packages/proofs/src/mocks/forwarder.ts
@@ -93,7 +93,7 @@
   });
   return {
     port: (server.address() as net.AddressInfo).port,
-    blackhole: blackhole,
+    blackhole,
     block: () => {
       state.blocked = true;
       blackhole();
