--- a/packages/proofs/src/index.ts
+++ b/packages/proofs/src/index.ts
@@ -1,4 +1,4 @@
-/** The virtual fleet, for proofs and measurements. */
+/** Exports the virtual fleet and the process fixture, for measurements. */
 export * from './mocks/call-payload.js';
 export * from './mocks/example-document.js';
 export * from './mocks/fleet-processes.js';
@@ -14,12 +14,12 @@
 export type { FaultSpec } from './random-runs/scenario.js';
 export {
   addEntry,
-  addBackendServer as addRunner,
-  createProcessFixture as createScene,
+  addBackendServer,
+  createProcessFixture,
   publishNext,
   sendChat,
-  startProcessFixture as startScene,
-  stopProcessFixture as stopScene,
-  type ProcessFixture as Scene,
+  startProcessFixture,
+  stopProcessFixture,
+  type ProcessFixture,
 } from './mocks/process-fixture.js';
-export type { RunningProcess as Running } from './mocks/process-fleet.js';
+export type { RunningProcess } from './mocks/process-fleet.js';
