--- a/packages/core/src/agent/admission.ts
+++ b/packages/core/src/agent/admission.ts
@@ -1,9 +1,9 @@
-/** Decides whether the start queue takes in an offer or a reservation. */
+/** Admission control of the start queue: decides whether an offer or a reservation is queued. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as agentEvent from './agent-event.js';
 import * as agentState from './agent-state.js';
-import * as reachability from './reachability.js';
+import * as deadlineFeasibility from './deadline-feasibility.js';
 import * as refusals from './refusals.js';
 import * as reservation from './reservation.js';
 import * as runs from './runs.js';
@@ -11,7 +11,7 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** What an offer and a reservation have in common. */
+/** The fields of an offer or a reservation that admission looks at. */
 export type Demand = {
   requestId: string;
   tierRank: number;
@@ -24,7 +24,10 @@
   | { kind: 'admitted'; effects: Effects }
   | { kind: 'refused'; effects: Effects; code: schema.ResultCode };
 
-/** Says why nothing may be taken in now, or that this demand is too late. */
+/**
+ * Returns the code for which this agent refuses a demand without looking at its queue: it shuts
+ * down, its engine is unavailable, or the deadline has passed. Undefined where none applies.
+ */
 export function findRefusal(
   state: agentState.AgentState,
   demand: Demand,
@@ -39,12 +42,12 @@
   return now >= demand.deadlineMs ? schema.ResultCode.DEADLINE_UNREACHABLE : undefined;
 }
 
-/** Tells whether the start queue has reached its bound. */
+/** Whether the start queue has reached its limit. */
 function isFull(state: agentState.AgentState): boolean {
   return startQueue.countQueued(state.queue) >= agentState.getLimits(state).maxQueued;
 }
 
-/** Finds a held place of the least urgent tier below `tierRank`. */
+/** Finds a held slot of the least urgent tier among those less urgent than `tierRank`. */
 function findLessUrgentHold(
   state: agentState.AgentState,
   tierRank: number,
@@ -54,7 +57,7 @@
     .sort((a, b) => b.tierRank - a.tierRank)[0];
 }
 
-/** Makes room in a full queue at the cost of less urgent work. */
+/** Evicts one less urgent item to make room in a full queue; no effects where there is none. */
 function evictLessUrgent(state: agentState.AgentState, tierRank: number, now: number): Effects {
   const item = startQueue.findEvictionCandidate(state.queue, tierRank);
   if (item !== undefined) {
@@ -64,14 +67,14 @@
   if (hold === undefined) {
     return [];
   }
-  // The place goes to the head of the queue, which makes room behind it.
+  // The freed slot goes to the head of the queue, which shortens the queue by one.
   return [
     ...refusals.refuseHold(state, hold, schema.ResultCode.EVICTED),
     ...runs.startQueued(state, now),
   ];
 }
 
-/** Asserts that nothing less urgent waits while a demand is refused for want of room. */
+/** Reports a broken invariant where a demand is shed before less urgent work. */
 function assertNoneLessUrgent(state: agentState.AgentState, tierRank: number): Effects {
   const broken =
     startQueue.findEvictionCandidate(state.queue, tierRank) !== undefined ||
@@ -81,13 +84,13 @@
     : [];
 }
 
-/** Takes a demand in, evicting less urgent work where the queue is full. */
+/** Admits or refuses a demand; where the queue is full, less urgent work is evicted first. */
 export function admit(state: agentState.AgentState, demand: Demand, now: number): Admission {
   const refusal = findRefusal(state, demand, now);
   if (refusal !== undefined) {
     return { kind: 'refused', effects: [], code: refusal };
   }
-  if (!reachability.isQueuedReachable(state, demand, now)) {
+  if (!deadlineFeasibility.isQueuedFeasible(state, demand, now)) {
     return { kind: 'refused', effects: [], code: schema.ResultCode.DEADLINE_UNREACHABLE };
   }
   const effects: Effects = [];
--- a/packages/core/src/agent/agent-event.ts
+++ b/packages/core/src/agent/agent-event.ts
@@ -1,15 +1,15 @@
-/** What can happen to an agent, and what it asks of its daemon. */
+/** The events that an agent's core handles and the effects that its daemon carries out. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as documentStore from '../shared/document-store.js';
 
-/** How an engine's run ended without an answer. */
+/** Why a run on the engine ended without a complete response. */
 export enum EngineFault {
-  /** The engine answered with an error or broke its stream; it is still up. */
+  /** The run ended with any other error, or was cancelled; the engine is still up. */
   FAILED = 'failed',
-  /** The engine's process went away while it ran the request. */
+  /** The engine's connection broke while it ran the request, and the run could not be resumed. */
   CRASHED = 'crashed',
-  /** Nothing of the request reached the engine. */
+  /** The connection was refused: no byte of the request reached the engine. */
   UNREACHABLE = 'unreachable',
 }
 
--- a/packages/core/src/agent/agent-messages.ts
+++ b/packages/core/src/agent/agent-messages.ts
@@ -11,7 +11,7 @@
   return { kind: 'sendToEntry', linkId, message };
 }
 
-/** Builds the confirmation that an attempt never ran and never will. */
+/** Builds the confirmation that an attempt has not run and never will. */
 export function buildNotRun(
   ref: schema.AttemptRef,
   code: schema.ResultCode,
@@ -38,7 +38,7 @@
   return { case: 'started', value: schema.create(schema.StartedSchema, { ref }) };
 }
 
-/** Builds one part of an answer. */
+/** Builds one part of a response. */
 export function buildPart(
   ref: schema.AttemptRef,
   sequence: number,
@@ -50,7 +50,7 @@
   };
 }
 
-/** Builds the news that a place is held for a request. */
+/** Builds the grant that says for how long a slot is held for a request. */
 export function buildGrant(requestId: string, holdMs: number): Body {
   return { case: 'grant', value: schema.create(schema.GrantSchema, { requestId, holdMs }) };
 }
--- a/packages/core/src/agent/agent-state.ts
+++ b/packages/core/src/agent/agent-state.ts
@@ -7,7 +7,7 @@
 import * as engineLimit from './engine-limit.js';
 import * as engineSpeed from './engine-speed.js';
 import * as reservation from './reservation.js';
-import * as runMemory from './run-memory.js';
+import * as runRetention from './run-retention.js';
 import * as runRecord from './run-record.js';
 import * as startQueue from '../shared/start-queue.js';
 
@@ -15,7 +15,7 @@
 export type EntryLink = {
   linkId: number;
   entryId: string;
-  lastHeardMs: number;
+  lastReceivedMs: number;
   lastSentMs: number;
   heartbeatsSent: number;
   /** Revision of the suspects last sent over this link. */
@@ -25,21 +25,24 @@
 export type AgentState = {
   backendServerId: string;
   service: string;
-  /** Incarnation; offers meant for another life are refused. */
+  /** Id of this process incarnation; offers addressed to another one are refused. */
   life: string;
   lifeBeganMs: number;
-  /** No caller was let in before this time, milliseconds; 0 where nobody knows. */
+  /** No caller was admitted before this wall-clock time, milliseconds; 0 where it is unknown. */
   firstTrafficMs: number;
   documents: documentStore.DocumentStore;
   runs: Map<string, runRecord.RunRecord>;
+  /** Newer document versions that entries have announced and this agent lacks. */
   newerSeen: documentStore.NewerVersions;
-  /** The keys that this agent is home of. */
+  /** The idempotency keys whose home is this agent. */
   keys: claims.KeyTable;
   queue: startQueue.StartQueue;
-  /** Reservations queued and places held, by request id. */
+  /** Queued reservations and held slots, by request id. */
   reservations: Map<string, reservation.Reservation>;
   holds: Map<string, reservation.Hold>;
+  /** Estimated tokens of all held slots. */
   heldTokens: number;
+  /** Reference keys of the attempts that run on the engine. */
   running: Set<string>;
   runningTokens: number;
   links: Map<number, EntryLink>;
@@ -47,16 +50,16 @@
   speed: engineSpeed.EngineSpeed;
   limit: engineLimit.EngineLimit;
   suspects: suspects.Suspects;
-  /** The suspect that runs alone at present; empty where none does. */
-  soloRefKey: string;
-  /** What ended attempts take in memory. */
-  memory: runMemory.RunMemory;
-  /** Any of the three reasons below holds. */
+  /** Reference key of the suspect that now runs alone; empty where none does. */
+  exclusiveRefKey: string;
+  /** Ended attempts whose records and responses are still kept. */
+  retention: runRetention.RunRetention;
+  /** Whether any of the three reasons below holds: the agent accepts no new work. */
   leaving: boolean;
   documentLeaving: boolean;
   vmLeaving: boolean;
   shutdownStarted: boolean;
-  /** Since when a shutdown has waited for acknowledgements alone. */
+  /** Since when a shutdown has only waited for acknowledgements; undefined while it has work. */
   idleSinceMs: number | undefined;
   stopped: boolean;
 };
@@ -89,8 +92,8 @@
     speed: engineSpeed.createEngineSpeed(now),
     limit: engineLimit.createEngineLimit(),
     suspects: suspects.createSuspects(),
-    soloRefKey: '',
-    memory: runMemory.createRunMemory(),
+    exclusiveRefKey: '',
+    retention: runRetention.createRunRetention(),
     leaving: false,
     documentLeaving: false,
     vmLeaving: false,
@@ -100,17 +103,17 @@
   };
 }
 
-/** Gets the service document in force, if there is one yet. */
+/** Returns the active service document, if there is one yet. */
 export function getDocument(state: AgentState): schema.ServiceDocument | undefined {
   return state.documents.get(state.service)?.document;
 }
 
-/** Gets the limits in force. */
+/** Returns the limits of the active document, or the default ones. */
 export function getLimits(state: AgentState): documentTiming.Limits {
   return documentTiming.getLimits(getDocument(state));
 }
 
-/** Gets the timing in force. */
+/** Returns the timing of the active document, or the default one. */
 export function getTiming(state: AgentState): documentTiming.Timing {
   return documentTiming.getTiming(getDocument(state));
 }
--- a/packages/core/src/agent/claims.test.ts
+++ b/packages/core/src/agent/claims.test.ts
@@ -12,12 +12,12 @@
 const RETENTION_MS = keyRetention.computeRetention(TIMING);
 const { ClaimOutcome } = schema;
 
-/** Creates a home that has just started. */
-function createHome(): claims.HomeView {
+/** Creates the home of a key whose process has just started. */
+function createHome(): claims.HomeState {
   return { keys: new Map(), lifeBeganMs: BEGAN_MS, firstTrafficMs: 0, document };
 }
 
-/** Builds a claim of a call that arrives now. */
+/** Builds the claim of a call that arrives now. */
 function buildClaim(now: number, fields: Partial<schema.Claim> = {}): schema.Claim {
   const ref = schema.create(schema.AttemptRefSchema, { requestId: 'r1', attempt: 1 });
   const claim = schema.create(schema.ClaimSchema, {
@@ -31,14 +31,14 @@
   return Object.assign(claim, fields);
 }
 
-/** Names another attempt. */
+/** Builds the reference of another attempt. */
 function buildOther(requestId: string): schema.AttemptRef {
   return schema.create(schema.AttemptRefSchema, { requestId, attempt: 1 });
 }
 
-nodeTest.test('new life and key without a time', () => {
-  // An earlier life may have bound the key. The home says so until no call of
-  // that time can arrive any more.
+nodeTest.test('after a restart, a key without an issue time', () => {
+  // An earlier process incarnation may have bound the key. The claim is undecided
+  // until no call from that time can arrive any more.
   const home = createHome();
   const early = BEGAN_MS + RETENTION_MS;
   const undecided = claims.resolveClaim(home, buildClaim(early), early);
@@ -47,7 +47,7 @@
   assert.equal(granted.outcome, ClaimOutcome.GRANTED);
 });
 
-nodeTest.test('new life and key with a time', () => {
+nodeTest.test('after a restart, a key with an issue time', () => {
   const home = createHome();
   const now = BEGAN_MS + 60_000;
   const edge = BEGAN_MS + 2 * TIMING.clockSkewMs;
@@ -57,23 +57,27 @@
   assert.equal(after.outcome, ClaimOutcome.GRANTED);
 });
 
-nodeTest.test('first life of a new system decides on plain keys', () => {
-  // On a new fleet the first caller with a plain key would be told for 25 minutes
-  // that its request may have run. Where no caller was let in before this life,
-  // nothing can have run. A life that began later, after a restart, cannot say so.
-  const now = BEGAN_MS + 60_000;
-  const skewMs = 2 * TIMING.clockSkewMs;
-  const first = { ...createHome(), firstTrafficMs: BEGAN_MS + skewMs };
-  const granted = claims.resolveClaim(first, buildClaim(now), now);
-  assert.equal(granted.outcome, ClaimOutcome.GRANTED);
-  const later = { ...createHome(), firstTrafficMs: BEGAN_MS + skewMs - 1 };
-  const undecided = claims.resolveClaim(later, buildClaim(now), now);
-  assert.equal(undecided.outcome, ClaimOutcome.UNDECIDED);
-});
+nodeTest.test(
+  'first process incarnation of a new deployment grants keys without an issue time',
+  () => {
+    // On a new deployment, callers with a key without an issue time would be told
+    // for 25 minutes that their request may have run. Where no caller was admitted
+    // before this process incarnation, nothing can have run. An incarnation that
+    // began later, after a restart, cannot rule it out.
+    const now = BEGAN_MS + 60_000;
+    const skewMs = 2 * TIMING.clockSkewMs;
+    const first = { ...createHome(), firstTrafficMs: BEGAN_MS + skewMs };
+    const granted = claims.resolveClaim(first, buildClaim(now), now);
+    assert.equal(granted.outcome, ClaimOutcome.GRANTED);
+    const later = { ...createHome(), firstTrafficMs: BEGAN_MS + skewMs - 1 };
+    const undecided = claims.resolveClaim(later, buildClaim(now), now);
+    assert.equal(undecided.outcome, ClaimOutcome.UNDECIDED);
+  },
+);
 
-nodeTest.test('only a named binding is replaced', () => {
-  // Two calls saw the same attempt confirmed as not run. The first replaces it;
-  // the second, which names the old one alone, learns of the new.
+nodeTest.test('a binding is replaced only by a claim that names it', () => {
+  // Two calls saw the same attempt confirmed as not run. The first one replaces
+  // it; the second one, which names only the old attempt, is told of the new one.
   const home = createHome();
   const now = BEGAN_MS + RETENTION_MS + 1;
   const ask = (requestId: string, replaces: schema.AttemptRef[]) =>
@@ -86,9 +90,9 @@
   assert.equal(third.record?.binding?.ref.requestId, 'r2');
 });
 
-nodeTest.test('claims that come too late', () => {
-  // An entry pauses with a claim in hand. By the time that the home could have
-  // forgotten the key's first call, it takes no claim of that age.
+nodeTest.test('claims that arrive too late are undecided', () => {
+  // An entry is paused before it sends a claim. Once the home may have forgotten
+  // the key's first call, it no longer decides on claims of that age.
   const home = createHome();
   const now = BEGAN_MS + 2 * RETENTION_MS;
   const oldest = now - TIMING.maxDeadlineMs - TIMING.clockSkewMs;
@@ -99,7 +103,7 @@
   assert.equal(stale.outcome, ClaimOutcome.UNDECIDED);
 });
 
-nodeTest.test('closed to earlier calls only', () => {
+nodeTest.test('a closed key is closed only to earlier calls', () => {
   const home = createHome();
   const now = BEGAN_MS + RETENTION_MS + 1;
   claims.resolveClaim(home, buildClaim(now, { close: true }), now);
@@ -110,7 +114,7 @@
   assert.equal(later.outcome, ClaimOutcome.GRANTED);
 });
 
-nodeTest.test('keys are forgotten in order', () => {
+nodeTest.test('keys expire in the order of their last change', () => {
   const home = createHome();
   const now = BEGAN_MS + RETENTION_MS + 1;
   claims.resolveClaim(home, buildClaim(now, { key: 'old' }), now);
--- a/packages/core/src/agent/claims.ts
+++ b/packages/core/src/agent/claims.ts
@@ -1,7 +1,8 @@
 /**
- * The keys that this agent is home of: which attempt each is bound to, or when
- * it was closed. A home decides alone and in the order in which claims arrive,
- * so of two calls with one key the second learns of the first.
+ * The idempotency keys whose home is this agent: which attempt each is bound
+ * to, or when it was closed. Each key has one home, which decides on claims in
+ * the order of their arrival, so of two calls with one key the second is told
+ * of the first.
  */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
@@ -13,13 +14,13 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Keys that one home holds at most; beyond it new keys are undecided. */
+/** Maximum number of keys at one home; further keys are answered with UNDECIDED. */
 const MAX_KEYS = 50_000;
 
-/** What a home knows of one key. */
+/** The state of one key at its home. */
 export type KeyRecord = {
   contentDigest: string;
-  /** When the record was made or changed, milliseconds. */
+  /** When the record was created or last changed, milliseconds since the Unix epoch. */
   sinceMs: number;
   /** The attempt that the key is bound to; undefined once it is closed. */
   binding:
@@ -32,16 +33,16 @@
     | undefined;
 };
 
-/** Records by workspace and key; the one that changed least recently is first. */
+/** Records by workspace and key, the least recently changed one first. */
 export type KeyTable = Map<string, KeyRecord>;
 
-/** What a decision looks at besides the claim. */
-export type HomeView = {
+/** The part of the agent's state that decides on claims. */
+export type HomeState = {
   keys: KeyTable;
   lifeBeganMs: number;
-  /** No caller was let in before this time, milliseconds; 0 where nobody knows. */
+  /** No caller was admitted before this wall-clock time, milliseconds; 0 where it is unknown. */
   firstTrafficMs: number;
-  /** Undefined while no document is in force. */
+  /** The active document, undefined while there is none. */
   document: schema.ServiceDocument | undefined;
 };
 
@@ -52,7 +53,7 @@
   return `${claim.workspace}\u0000${claim.key}`;
 }
 
-/** Forgets keys whose calls can no longer arrive. */
+/** Forgets keys older than the retention time: a call that uses them can no longer arrive. */
 export function expireKeys(keys: KeyTable, retentionMs: number, now: number): void {
   let [oldest] = keys;
   while (oldest !== undefined && now - oldest[1].sinceMs > retentionMs) {
@@ -61,29 +62,29 @@
   }
 }
 
-/** Tells whether a claim may replace a binding. */
-function hasReplacement(claim: schema.Claim, ref: schema.AttemptRef): boolean {
+/** Whether a claim names the bound attempt as one that it may replace. */
+function isReplacementAllowed(claim: schema.Claim, ref: schema.AttemptRef): boolean {
   const refKey = attemptRef.toRefKey(ref);
   return claim.replaces.some((one) => attemptRef.toRefKey(one) === refKey);
 }
 
-/** Binds or closes the key as the claim asks. */
-function writeRecord(home: HomeView, claim: schema.Claim, now: number): Decision {
+/** Binds or closes the key, as the claim asks. */
+function writeRecord(home: HomeState, claim: schema.Claim, now: number): Decision {
   const { ref, backendServerId, agentLife, contentDigest } = claim;
   const tableKey = toTableKey(claim);
   const bound = ref !== undefined && !claim.close;
   const binding = bound
     ? { ref, backendServerId, agentLife, issuedMs: claim.arrivedMs }
     : undefined;
-  // Deleted first, so that the table stays in the order of its changes.
+  // Deleted first: the map then stays ordered by the time of the last change.
   home.keys.delete(tableKey);
   home.keys.set(tableKey, { contentDigest, sinceMs: now, binding });
   return { outcome: schema.ClaimOutcome.GRANTED };
 }
 
 /** Decides on a key that this home knows. */
-function resolveKnown(
-  home: HomeView,
+function resolveKnownKey(
+  home: HomeState,
   record: KeyRecord,
   claim: schema.Claim,
   timing: documentTiming.Timing,
@@ -94,8 +95,9 @@
     return { outcome: schema.ClaimOutcome.REUSED };
   }
   if (binding === undefined) {
-    // Its callers were told "not run". A call from before the close that woke
-    // up late would make that untrue; the skew covers clocks that differ.
+    // The callers of a closed key were told "not run". Granting it to a delayed
+    // call from before the close would make that untrue. The skew allows for
+    // clocks that differ.
     const older = claim.arrivedMs <= record.sinceMs + timing.clockSkewMs;
     return older ? { outcome: schema.ClaimOutcome.CLOSED } : writeRecord(home, claim, now);
   }
@@ -106,35 +108,37 @@
   if (sameAttempt) {
     return { outcome: schema.ClaimOutcome.GRANTED };
   }
-  return hasReplacement(claim, binding.ref)
+  return isReplacementAllowed(claim, binding.ref)
     ? writeRecord(home, claim, now)
     : { outcome: schema.ClaimOutcome.BOUND, record };
 }
 
 /**
- * Tells whether this life knows of every key that could have been bound here.
+ * Whether this process incarnation would know of any earlier binding of the key.
  *
- * An earlier life may have bound the key. A key issued after this life began cannot
- * have been claimed before; twice the skew, since the entry allows a key that is
- * ahead of its own clock by one. Without an issue time only the end of the retention
- * rules an earlier binding out, or that no caller was let in before this life: on a
- * new fleet each plain key would be undecided for 25 minutes otherwise.
+ * An earlier incarnation may have bound the key, and bindings do not survive a
+ * restart. A key issued after this incarnation began cannot have been claimed
+ * before it; the margin is twice the skew, since an entry accepts a key that is
+ * ahead of its own clock by one skew. A key without an issue time is safe once
+ * the retention time has passed, or where no caller was admitted before this
+ * incarnation: otherwise each such key on a new deployment would be undecided
+ * for 25 minutes.
  */
-function isCovered(
-  { lifeBeganMs, firstTrafficMs }: HomeView,
+function isHistoryComplete(
+  { lifeBeganMs, firstTrafficMs }: HomeState,
   { keyIssuedMs }: schema.Claim,
   timing: documentTiming.Timing,
   now: number,
 ): boolean {
   const skewMs = 2 * timing.clockSkewMs;
   const issuedInThisLife = keyIssuedMs > lifeBeganMs + skewMs;
-  const lifeCoversKey = now - lifeBeganMs > keyRetention.computeRetention(timing);
-  return issuedInThisLife || lifeCoversKey || lifeBeganMs + skewMs <= firstTrafficMs;
+  const outlivesRetention = now - lifeBeganMs > keyRetention.computeRetention(timing);
+  return issuedInThisLife || outlivesRetention || lifeBeganMs + skewMs <= firstTrafficMs;
 }
 
 /** Decides on a key that this home does not know. */
-function resolveUnknown(
-  home: HomeView,
+function resolveUnknownKey(
+  home: HomeState,
   claim: schema.Claim,
   timing: documentTiming.Timing,
   now: number,
@@ -143,34 +147,34 @@
   if (keyIssuedMs > 0 && now - keyIssuedMs > timing.keyWindowMs) {
     return { outcome: schema.ClaimOutcome.EXPIRED };
   }
-  if (!isCovered(home, claim, timing, now) || home.keys.size >= MAX_KEYS) {
+  if (!isHistoryComplete(home, claim, timing, now) || home.keys.size >= MAX_KEYS) {
     return { outcome: schema.ClaimOutcome.UNDECIDED };
   }
   return writeRecord(home, claim, now);
 }
 
 /** Decides on one claim. */
-export function resolveClaim(home: HomeView, claim: schema.Claim, now: number): Decision {
+export function resolveClaim(home: HomeState, claim: schema.Claim, now: number): Decision {
   const { document } = home;
   const undecided = { outcome: schema.ClaimOutcome.UNDECIDED };
-  // An entry below the settled version may ask other homes than everybody else.
+  // An entry with a document older than the settled version may take other agents for a key's home.
   if (document === undefined || claim.documentVersion < document.settledVersion) {
     return undecided;
   }
   const timing = documentTiming.getTiming(document);
-  // A paused entry may send a claim long after its caller has gone, when the
-  // record of the key's first call has expired; it would be granted a second run.
+  // A paused entry may send a claim long after its caller's deadline, when the record of the
+  // key's first call has expired. Granting it would let the request run a second time.
   if (now - claim.arrivedMs > timing.maxDeadlineMs + timing.clockSkewMs) {
     return undecided;
   }
   expireKeys(home.keys, keyRetention.computeRetention(timing), now);
   const record = home.keys.get(toTableKey(claim));
   return record === undefined
-    ? resolveUnknown(home, claim, timing, now)
-    : resolveKnown(home, record, claim, timing, now);
+    ? resolveUnknownKey(home, claim, timing, now)
+    : resolveKnownKey(home, record, claim, timing, now);
 }
 
-/** Answers one claim. */
+/** Decides on a claim and replies to the entry. */
 export function replyClaim(
   state: agentState.AgentState,
   linkId: number,
--- a/packages/core/src/agent/crash-suspects.ts
+++ b/packages/core/src/agent/crash-suspects.ts
@@ -1,4 +1,4 @@
-/** Decides what a crash of the engine says of the attempts that ran. */
+/** Marks the content of attempts that ran when the engine crashed, and clears it on completion. */
 import * as schema from '@toucanproxy/schema';
 import * as suspects from '../shared/suspects.js';
 import * as agentEvent from './agent-event.js';
@@ -9,10 +9,10 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** HTTP statuses from here on say that the engine could not do the work. */
+/** From this HTTP status on a response is a server error and does not clear its content. */
 const MIN_SERVER_ERROR = 500;
 
-/** Marks everything that ran when the engine crashed and tells each entry at once. */
+/** Marks the content of all running attempts after a crash and reports it to every entry. */
 export function recordCrash(state: agentState.AgentState, now: number): Effects {
   const alone = state.running.size === 1;
   [...state.running]
@@ -21,13 +21,13 @@
       running.crashed = true;
       suspects.recordCrash(state.suspects, running.offer?.contentDigest ?? '', alone, now);
     });
-  // Ahead of the news that the attempts failed: an entry knows the suspect
-  // before its caller can send the request again.
+  // Sent before the failures of the attempts: an entry then knows the suspects
+  // before a caller can retry the request.
   return entryLinks.sendHeartbeats(state, now);
 }
 
-/** Learns what others know of crashes and refuses what they have blocked. */
-export function mergeHeard(
+/** Merges the suspects that an entry reports and refuses queued attempts that are now blocked. */
+export function mergeReceived(
   state: agentState.AgentState,
   heard: readonly schema.Suspect[],
   now: number,
@@ -36,13 +36,13 @@
   return changed ? refusals.refuseBlocked(state, now) : [];
 }
 
-/** Clears the content of an attempt that the engine answered whole. */
+/** Clears the content of an attempt that completed, unless with a server error. */
 export function clearSuspicion(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
   now: number,
 ): Effects {
-  if (runRecord.getStatus(record) >= MIN_SERVER_ERROR) {
+  if (runRecord.getHttpStatus(record) >= MIN_SERVER_ERROR) {
     return [];
   }
   const cleared = suspects.clearSuspect(state.suspects, record.offer?.contentDigest ?? '', now);
--- a/packages/core/src/agent/reachability.ts
+++ b/packages/core/src/agent/deadline-feasibility.ts
@@ -1,11 +1,11 @@
-/** Tells what can be done in time, and when to come back, at the measured speed. */
+/** Estimates from the measured throughput whether work meets its deadline, and when to retry. */
 import * as schema from '@toucanproxy/schema';
 import * as suspects from '../shared/suspects.js';
 import * as agentState from './agent-state.js';
 import * as engineSpeed from './engine-speed.js';
 import * as startQueue from '../shared/start-queue.js';
 
-/** What has to end by a deadline. */
+/** Work that has to complete by a deadline. */
 type TimedDemand = {
   tierRank: number;
   workspace: string;
@@ -13,12 +13,12 @@
   deadlineMs: number;
 };
 
-const UNKNOWN_RETRY_MS = 1000;
+const DEFAULT_RETRY_MS = 1000;
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 30_000;
 
-/** Tells whether a run that starts now can end by its deadline. */
-export function isRunReachable(
+/** Whether a run that starts after `waitMs` can complete by its deadline. */
+export function isRunFeasible(
   state: agentState.AgentState,
   demand: TimedDemand,
   waitMs: number,
@@ -27,8 +27,8 @@
   if (now >= demand.deadlineMs) {
     return false;
   }
-  // An idle engine takes whatever comes: a measure from slow times would else
-  // refuse everything and never be corrected.
+  // An idle engine accepts everything: otherwise an outdated measurement of a
+  // slow engine would refuse all work and never be corrected.
   if (state.running.size === 0) {
     return true;
   }
@@ -36,8 +36,8 @@
   return now + waitMs + runMs <= demand.deadlineMs;
 }
 
-/** Tells whether a demand that is queued now can end by its deadline. */
-export function isQueuedReachable(
+/** Whether a demand that is queued now can complete by its deadline. */
+export function isQueuedFeasible(
   state: agentState.AgentState,
   demand: TimedDemand,
   now: number,
@@ -49,16 +49,16 @@
     demand.estimatedTokens,
   );
   const waitMs = engineSpeed.estimateWaitMs(state.speed, ahead);
-  return isRunReachable(state, demand, waitMs, now);
+  return isRunFeasible(state, demand, waitMs, now);
 }
 
-/** Estimates when it is worth asking again, milliseconds from now. */
+/** Estimates when a retry is worthwhile, milliseconds from now. */
 export function estimateRetryMs(state: agentState.AgentState, code: schema.ResultCode): number {
   if (code === schema.ResultCode.CONTENT_REFUSED) {
     return suspects.SUSPECT_KEEP_MS;
   }
   const tokens = startQueue.countTokens(state.queue);
   const waitMs = engineSpeed.estimateWaitMs(state.speed, tokens);
-  const known = waitMs > 0 ? Math.ceil(waitMs) : UNKNOWN_RETRY_MS;
+  const known = waitMs > 0 ? Math.ceil(waitMs) : DEFAULT_RETRY_MS;
   return Math.min(Math.max(known, MIN_RETRY_MS), MAX_RETRY_MS);
 }
--- a/packages/core/src/agent/engine-availability.ts
+++ b/packages/core/src/agent/engine-availability.ts
@@ -1,4 +1,4 @@
-/** Takes the engine out of use and back. */
+/** Tracks whether the engine is available. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as agentEvent from './agent-event.js';
@@ -9,10 +9,11 @@
 type Effects = agentEvent.AgentEffect[];
 
 /**
- * Takes what a probe or an attempt said of the engine.
+ * Applies what a probe or an attempt found out about the engine.
  *
- * With the engine down, what has not started is refused at once, so that
- * entries place it elsewhere in place of waiting for a restart.
+ * While the engine is down, everything that has not started is refused at once,
+ * so that entries place it on another backend server instead of waiting for a
+ * restart.
  */
 export function setAvailable(
   state: agentState.AgentState,
@@ -21,8 +22,8 @@
 ): Effects {
   const changed = state.engineAvailable !== available;
   state.engineAvailable = available;
-  const line = changed ? [effect.logDecision('engine', { available })] : [];
+  const logEffects = changed ? [effect.logDecision('engine', { available })] : [];
   return available
-    ? [...line, ...runs.startQueued(state, now)]
-    : [...line, ...refusals.refuseAll(state, schema.ResultCode.NO_BACKEND_SERVER, now)];
+    ? [...logEffects, ...runs.startQueued(state, now)]
+    : [...logEffects, ...refusals.refuseAll(state, schema.ResultCode.NO_BACKEND_SERVER, now)];
 }
--- a/packages/core/src/agent/engine-limit.test.ts
+++ b/packages/core/src/agent/engine-limit.test.ts
@@ -2,19 +2,23 @@
 import * as nodeTest from 'node:test';
 import * as agentEvent from './agent-event.js';
 import * as engineLimit from './engine-limit.js';
-import * as bench from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-bench.js';
 import * as batchEngine from './mocks/batch-engine.js';
 
-type Figures = { urgentWaitMs: number; ended: number; places: number };
+type Measurements = { urgentWaitMs: number; ended: number; places: number };
 
 const STEPS = 20_000;
 const SLOW_FACTOR = 5;
 const URGENT_EACH_STEPS = 50;
 const DRAFT_LENGTHS = [20, 400, 60, 1200, 100];
 
-/** Runs drafts without end and now and then an urgent request through one engine. */
-function run(maxBatch: number, isAdaptive: boolean, slowFrom = STEPS): Figures {
-  const agent = bench.createBench({ maxRunning: 32, maxQueued: 64, maxRunningTokens: 1_000_000 });
+/** Runs a steady load of drafts and an occasional urgent request through one engine. */
+function run(maxBatch: number, isAdaptive: boolean, slowFrom = STEPS): Measurements {
+  const agent = agentFixture.createBench({
+    maxRunning: 32,
+    maxQueued: 64,
+    maxRunningTokens: 1_000_000,
+  });
   const engine: batchEngine.BatchEngine = { maxBatch, waiting: [], batch: [] };
   const urgentSince = new Map<string, number>();
   const waits: number[] = [];
@@ -28,15 +32,17 @@
     const estimatedTokens = DRAFT_LENGTHS[step % DRAFT_LENGTHS.length];
     const payload = new Uint8Array(estimatedTokens * 4);
     if (agent.state.queue.items.size < 40) {
-      take(bench.offer(agent, `d${step}`, { tierRank: 1, estimatedTokens, payload }));
+      take(agentFixture.offer(agent, `d${step}`, { tierRank: 1, estimatedTokens, payload }));
     }
     if (step % URGENT_EACH_STEPS === 0) {
       urgentSince.set(`u${step}#1`, agent.now);
-      take(bench.offer(agent, `u${step}`, { estimatedTokens: 20, payload }));
+      take(agentFixture.offer(agent, `u${step}`, { estimatedTokens: 20, payload }));
     }
     const effects = batchEngine.advance(engine, agent);
-    ended += bench.listSent(effects, 'part').filter((one) => one.content.case === 'end').length;
-    bench.listSent(effects, 'part').forEach((part) => {
+    ended += agentFixture
+      .listSent(effects, 'part')
+      .filter((one) => one.content.case === 'end').length;
+    agentFixture.listSent(effects, 'part').forEach((part) => {
       const key = `${part.ref?.requestId}#1`;
       const since = urgentSince.get(key);
       if (part.content.case === 'data' && since !== undefined) {
@@ -49,8 +55,8 @@
   return { urgentWaitMs, ended, places: agent.state.limit.places };
 }
 
-nodeTest.test('the limit finds the batch of the engine', () => {
-  // The document allows 32 requests at once, the engine batches 8 and queues
+nodeTest.test('the limit adapts to the batch size of the engine', () => {
+  // The document allows 32 concurrent requests; the engine batches 8 and queues
   // the rest without tiers, so urgent requests wait behind drafts there. The
   // limit falls until the engine's own queue is short.
   const fixed = run(8, false);
@@ -59,9 +65,9 @@
   assert.ok(adaptive.ended > 0.95 * fixed.ended);
 });
 
-nodeTest.test('the limit comes back on an engine that slows down for good', () => {
-  // Every step takes five times as long from some moment on, so that each first
-  // byte looks late. The limit falls, the base is forgotten, and the limit
-  // rises to the whole batch again.
+nodeTest.test('the limit recovers on an engine that slows down for good', () => {
+  // From step 6000 on every step takes five times as long, so that each first
+  // byte looks late. The limit falls, the old baseline expires, and the limit
+  // rises to the full batch again.
   assert.equal(run(32, true, 6000).places, 32);
 });
--- a/packages/core/src/agent/engine-limit.ts
+++ b/packages/core/src/agent/engine-limit.ts
@@ -1,166 +1,171 @@
 /**
- * How much the engine is given at once, in requests and tokens.
+ * Adaptive concurrency limit of the engine, in requests and tokens.
  *
- * An engine that is given more than its batch holds admits the rest as it
- * likes, without tiers. That shows in the time to the first streamed byte: it
- * grows by the wait for a place, while prompts of that length took less before.
- * The limit falls by a tenth where half of the runs were late, and rises by one
- * where few were and the limit held work back.
+ * An engine that is given more than fits into its batch queues the rest itself,
+ * without regard to tiers. This shows in the time to the first streamed byte,
+ * which grows by the wait for a slot of the batch compared with earlier prompts
+ * of that length. Increase is additive, decrease multiplicative: the limit falls
+ * by a tenth where more than half of a window's runs were late, and rises by one
+ * where less than a quarter were and the limit held work back.
  *
- * Long prompts that share the engine's prefill are late too, and so is all on
- * an engine that has become slow; fewer requests at once would cost throughput
- * there. Less then comes out than before, and the limit does not fall.
+ * Runs are also late where long prompts share the engine's prefill, and on an
+ * engine that has become slow. A lower limit would only cost throughput there.
+ * In these cases the output rate is below its earlier best, and the limit is
+ * raised rather than lowered.
  */
 import * as documentTiming from '../shared/document-timing.js';
 
 export type EngineLimit = {
-  /** Requests at once. */
+  /** Limit on concurrent requests. */
   places: number;
-  /** Estimated tokens at once. */
+  /** Limit on the estimated tokens of concurrent requests. */
   tokens: number;
-  /** Least time to the first byte for a prompt token, milliseconds, of late and before. */
-  base: { recent: number; before: number; runs: number };
-  /** When this window began, milliseconds since the Unix epoch. */
-  beganMs: number;
-  /** Runs in this window, and those of them that were late. */
+  /**
+   * Shortest time to the first byte per prompt token, milliseconds: over the last `runs` runs,
+   * and over the `BASELINE_RUNS` before these.
+   */
+  baseline: { recent: number; before: number; runs: number };
+  /** When the present window began, milliseconds since the Unix epoch. */
+  windowStartMs: number;
+  /** Runs of this window, and how many of them were late. */
   runs: number;
   lateRuns: number;
-  /** Streamed pieces in this window, and the most for each millisecond of late. */
-  pieces: number;
+  /** Streamed chunks of this window, and the decaying maximum of chunks per millisecond. */
+  chunks: number;
   bestRate: number;
-  /** What held work back in this window. */
-  heldByPlaces: boolean;
-  heldByTokens: boolean;
+  /** Which limit held work back in this window. */
+  limitedByPlaces: boolean;
+  limitedByTokens: boolean;
 };
 
-/** Added to each prompt, for the part of the first byte that is the same for all. */
-const FIXED_TOKENS = 256;
+/** Tokens added to each prompt for the fixed part of the time to first byte. */
+const FIXED_PROMPT_TOKENS = 256;
 
-/** A first byte is late from this multiple of the expected time on, and this much more. */
+/** A first byte is late after this multiple of the expected time plus the slack. */
 const LATE_FACTOR = 3;
 const LATE_SLACK_MS = 20;
 
-/** Runs after which the older half of the base is forgotten, as engines slow down for good. */
-const BASE_RUNS = 128;
+/** Runs after which the older half of the baseline expires, as an engine may slow down for good. */
+const BASELINE_RUNS = 128;
 
-const WINDOW_RUNS = 8;
-const WINDOW_MS = 200;
-const FALL_SHARE = 0.5;
-const RISE_SHARE = 0.25;
-const FALL_FACTOR = 0.9;
+const MIN_WINDOW_RUNS = 8;
+const MIN_WINDOW_MS = 200;
+const DECREASE_LATE_SHARE = 0.5;
+const INCREASE_LATE_SHARE = 0.25;
+const DECREASE_FACTOR = 0.9;
 
-/** The limit does not fall while less than this part of the best rate comes out. */
-const KEPT_RATE = 0.93;
+/** The limit does not fall while the output rate is below this share of the best one. */
+const MIN_RATE_SHARE = 0.93;
 
-/** What is left of the best rate with each window, as engines slow down for good. */
+/** Decay of the best rate per window, as an engine may slow down for good. */
 const RATE_DECAY = 0.995;
 
-/** The limit falls to this part of the document's limit at most. */
-const MIN_PART = 8;
+/** The limit never falls below the document's limit divided by this. */
+const MIN_LIMIT_DIVISOR = 8;
 
-/** Creates a limit that stands at the document's own. */
+/** Creates a limit that starts at the one of the document. */
 export function createEngineLimit(): EngineLimit {
   return {
     places: Number.POSITIVE_INFINITY,
     tokens: Number.POSITIVE_INFINITY,
-    base: { recent: Number.POSITIVE_INFINITY, before: Number.POSITIVE_INFINITY, runs: 0 },
-    beganMs: 0,
+    baseline: { recent: Number.POSITIVE_INFINITY, before: Number.POSITIVE_INFINITY, runs: 0 },
+    windowStartMs: 0,
     runs: 0,
     lateRuns: 0,
-    pieces: 0,
+    chunks: 0,
     bestRate: 0,
-    heldByPlaces: false,
-    heldByTokens: false,
+    limitedByPlaces: false,
+    limitedByTokens: false,
   };
 }
 
-/** Gets the requests that may run at once. */
+/** Returns how many requests may run concurrently. */
 export function getPlaces(limit: EngineLimit, limits: documentTiming.Limits): number {
   return Math.min(limit.places, limits.maxRunning);
 }
 
-/** Gets the estimated tokens that may run at once. */
+/** Returns how many estimated tokens may run concurrently. */
 export function getTokens(limit: EngineLimit, limits: documentTiming.Limits): number {
   return Math.min(limit.tokens, limits.maxRunningTokens);
 }
 
-/** Moves one limit down, not below its least value. */
-function computeFall(value: number, max: number): number {
-  return Math.max(Math.floor(value * FALL_FACTOR), Math.ceil(max / MIN_PART), 1);
+/** Computes the next lower value of a limit, bounded by its minimum. */
+function computeDecrease(value: number, max: number): number {
+  return Math.max(Math.floor(value * DECREASE_FACTOR), Math.ceil(max / MIN_LIMIT_DIVISOR), 1);
 }
 
-/** Moves down the limit that was binding. */
+/** Lowers the limit that held work back: tokens where it did, otherwise requests. */
 function lowerLimit(limit: EngineLimit, limits: documentTiming.Limits): void {
-  if (limit.heldByTokens) {
-    limit.tokens = computeFall(getTokens(limit, limits), limits.maxRunningTokens);
+  if (limit.limitedByTokens) {
+    limit.tokens = computeDecrease(getTokens(limit, limits), limits.maxRunningTokens);
   } else {
-    limit.places = computeFall(getPlaces(limit, limits), limits.maxRunning);
+    limit.places = computeDecrease(getPlaces(limit, limits), limits.maxRunning);
   }
 }
 
-/** Moves up the limits that held work back. */
+/** Raises the limits that held work back. */
 function raiseLimit(limit: EngineLimit, limits: documentTiming.Limits): void {
-  if (limit.heldByPlaces) {
+  if (limit.limitedByPlaces) {
     limit.places = Math.min(getPlaces(limit, limits) + 1, limits.maxRunning);
   }
-  if (limit.heldByTokens) {
+  if (limit.limitedByTokens) {
     const step = Math.ceil(limits.maxRunningTokens / limits.maxRunning);
     limit.tokens = Math.min(getTokens(limit, limits) + step, limits.maxRunningTokens);
   }
 }
 
-/** Moves the limits by what the window has shown. */
+/** Adapts the limits to the window that ends now. */
 function updateLimit(limit: EngineLimit, limits: documentTiming.Limits, now: number): void {
-  const rate = limit.pieces / (now - limit.beganMs);
+  const rate = limit.chunks / (now - limit.windowStartMs);
   limit.bestRate = Math.max(limit.bestRate * RATE_DECAY, rate);
   const lateShare = limit.lateRuns / limit.runs;
-  const costsRate = rate < KEPT_RATE * limit.bestRate;
-  if (lateShare > FALL_SHARE && !costsRate) {
+  const losesThroughput = rate < MIN_RATE_SHARE * limit.bestRate;
+  if (lateShare > DECREASE_LATE_SHARE && !losesThroughput) {
     lowerLimit(limit, limits);
-  } else if (lateShare < RISE_SHARE || costsRate) {
+  } else if (lateShare < INCREASE_LATE_SHARE || losesThroughput) {
     raiseLimit(limit, limits);
   }
 }
 
-/** Takes one run into the base. */
-function updateBase(limit: EngineLimit, msPerToken: number): void {
-  const { base } = limit;
-  base.runs += 1;
-  base.recent = Math.min(base.recent, msPerToken);
-  if (base.runs >= BASE_RUNS) {
-    limit.base = { recent: Number.POSITIVE_INFINITY, before: base.recent, runs: 0 };
+/** Adds one run to the baseline. */
+function updateBaseline(limit: EngineLimit, msPerToken: number): void {
+  const { baseline } = limit;
+  baseline.runs += 1;
+  baseline.recent = Math.min(baseline.recent, msPerToken);
+  if (baseline.runs >= BASELINE_RUNS) {
+    limit.baseline = { recent: Number.POSITIVE_INFINITY, before: baseline.recent, runs: 0 };
   }
 }
 
 /** Begins a new window. */
 function startWindow(limit: EngineLimit, now: number): void {
-  limit.beganMs = now;
+  limit.windowStartMs = now;
   limit.runs = 0;
   limit.lateRuns = 0;
-  limit.pieces = 0;
-  limit.heldByPlaces = false;
-  limit.heldByTokens = false;
+  limit.chunks = 0;
+  limit.limitedByPlaces = false;
+  limit.limitedByTokens = false;
 }
 
-/** Notes one streamed piece of an answer. */
-export function notePiece(limit: EngineLimit): void {
-  limit.pieces += 1;
+/** Records one streamed chunk of a response. */
+export function recordChunk(limit: EngineLimit): void {
+  limit.chunks += 1;
 }
 
-/** Notes the first streamed byte of a run and adapts the limit once enough are known. */
-export function noteFirstByte(
+/** Records the first streamed byte of a run and adapts the limit at the end of a window. */
+export function recordFirstByte(
   limit: EngineLimit,
   limits: documentTiming.Limits,
   run: { promptTokens: number; ms: number },
   now: number,
 ): void {
-  const tokens = run.promptTokens + FIXED_TOKENS;
-  const expectedMs = Math.min(limit.base.recent, limit.base.before) * tokens;
-  limit.beganMs = limit.beganMs || now;
+  const tokens = run.promptTokens + FIXED_PROMPT_TOKENS;
+  const expectedMs = Math.min(limit.baseline.recent, limit.baseline.before) * tokens;
+  limit.windowStartMs = limit.windowStartMs || now;
   limit.runs += 1;
   limit.lateRuns += run.ms > LATE_FACTOR * expectedMs + LATE_SLACK_MS ? 1 : 0;
-  updateBase(limit, Math.max(run.ms, 1) / tokens);
-  if (limit.runs >= WINDOW_RUNS && now - limit.beganMs >= WINDOW_MS) {
+  updateBaseline(limit, Math.max(run.ms, 1) / tokens);
+  if (limit.runs >= MIN_WINDOW_RUNS && now - limit.windowStartMs >= MIN_WINDOW_MS) {
     updateLimit(limit, limits, now);
     startWindow(limit, now);
   }
--- a/packages/core/src/agent/engine-runs.ts
+++ b/packages/core/src/agent/engine-runs.ts
@@ -1,10 +1,10 @@
-/** Handles what the engine says of the attempts it runs. */
+/** Handles the engine's events about the attempts that it runs. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as agentEvent from './agent-event.js';
 import * as agentMessages from './agent-messages.js';
 import * as agentState from './agent-state.js';
-import * as answers from './answers.js';
+import * as responses from './responses.js';
 import * as crashSuspects from './crash-suspects.js';
 import * as engineLimit from './engine-limit.js';
 import * as engineAvailability from './engine-availability.js';
@@ -20,7 +20,7 @@
   { kind: 'engineHead' | 'engineData' | 'engineEnd' | 'engineFailed' }
 >;
 
-/** Completes an attempt with the count of its parts. */
+/** Ends an attempt as completed and sends the end part with the number of parts. */
 function completeRun(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
@@ -28,21 +28,21 @@
 ): Effects {
   const end = schema.create(schema.AnswerEndSchema, { partCount: record.parts.length + 1 });
   runs.endRun(state, record, runRecord.RunStatus.COMPLETED, now);
-  const effects = answers.addPart(record, { case: 'end', value: end });
+  const effects = responses.addPart(record, { case: 'end', value: end });
   record.subscribers.clear();
-  answers.keepAnswer(state, record);
+  responses.keepResponse(state, record);
   const cleared = crashSuspects.clearSuspicion(state, record, now);
   return [...effects, ...cleared, ...runs.startQueued(state, now)];
 }
 
-/** Maps an engine fault to the code that callers see. */
+/** Maps an engine fault to the result code that callers receive. */
 function toResultCode(fault: agentEvent.EngineFault): schema.ResultCode {
   return fault === agentEvent.EngineFault.CRASHED
     ? schema.ResultCode.ENGINE_CRASHED
     : schema.ResultCode.ENGINE_FAILED;
 }
 
-/** Names the cause for which the prompt work of a failed attempt is lost. */
+/** Returns the cause under which the prefill of a failed attempt is counted as wasted. */
 function toWasteCause(
   record: runRecord.RunRecord,
   fault: agentEvent.EngineFault,
@@ -55,7 +55,7 @@
     : effect.WasteCause.FAILED;
 }
 
-/** Ends an attempt whose engine gave no whole answer. */
+/** Ends an attempt as failed: the engine gave no complete response. */
 function failRun(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
@@ -65,7 +65,7 @@
   record.code = toResultCode(fault);
   runs.endRun(state, record, runRecord.RunStatus.FAILED, now);
   record.parts = [];
-  const effects = answers.publish(record, agentMessages.buildRunFailed(record.ref, record.code));
+  const effects = responses.publish(record, agentMessages.buildRunFailed(record.ref, record.code));
   record.subscribers.clear();
   const cause = toWasteCause(record, fault);
   return [
@@ -75,14 +75,14 @@
   ];
 }
 
-/** Takes the engine out of use and records what ran at its crash. */
+/** Handles a crash: marks what was running, takes the engine out of use and fails the attempt. */
 function handleCrash(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
   now: number,
 ): Effects {
-  // Each attempt's connection breaks by itself, some after the engine is back.
-  // The first one tells of the crash; one crash must not count for more.
+  // The connection of each running attempt breaks separately, some of them after the engine has
+  // restarted. Only the first one counts as a crash; it marks all attempts that ran.
   const noted = record.crashed
     ? []
     : [
@@ -93,12 +93,11 @@
 }
 
 /**
- * Ends an attempt whose connection the engine refused.
+ * Ends an attempt whose connection to the engine was refused.
  *
- * The system refused to connect, so not one byte of the request left this
- * process: it is as certain as for a queued attempt that it did not run, and
- * that may be confirmed though it was marked as started. A connection that was
- * made and then broke is another fault and counts as run.
+ * No byte of the request left this process, so the attempt certainly did not
+ * run and is confirmed as not run although it was marked as started. A
+ * connection that was made and then broke is another fault and counts as run.
  */
 function handleUnreachable(
   state: agentState.AgentState,
@@ -116,7 +115,7 @@
   ];
 }
 
-/** Ends an attempt by the fault that its daemon met. */
+/** Ends an attempt according to the fault that the engine client reports. */
 function handleFault(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
@@ -133,22 +132,22 @@
   }
 }
 
-/** Measures streamed answers; others come all at the end and tell nothing on the way. */
-function notePiece(state: agentState.AgentState, record: runRecord.RunRecord, now: number): void {
+/** Records a chunk of a streamed response; only these show when the engine begins to respond. */
+function recordChunk(state: agentState.AgentState, record: runRecord.RunRecord, now: number): void {
   const [head] = record.parts;
   const streamed = head?.case === 'head' && head.value.contentType.startsWith(EVENT_STREAM);
   if (!streamed) {
     return;
   }
-  engineLimit.notePiece(state.limit);
+  engineLimit.recordChunk(state.limit);
   if (record.parts.length === 1) {
     const { promptTokens } = record;
     const run = { promptTokens, ms: now - record.changedMs };
-    engineLimit.noteFirstByte(state.limit, agentState.getLimits(state), run, now);
+    engineLimit.recordFirstByte(state.limit, agentState.getLimits(state), run, now);
   }
 }
 
-/** Applies one engine event; events of attempts that have ended are dropped. */
+/** Applies one engine event; events about attempts that are not running are dropped. */
 export function handleEngineEvent(
   state: agentState.AgentState,
   event: EngineEvent,
@@ -162,11 +161,11 @@
     case 'engineHead': {
       const { status, contentType } = event;
       const head = schema.create(schema.AnswerHeadSchema, { status, contentType });
-      return answers.addPart(record, { case: 'head', value: head });
+      return responses.addPart(record, { case: 'head', value: head });
     }
     case 'engineData':
-      notePiece(state, record, now);
-      return answers.addPart(record, { case: 'data', value: event.data });
+      recordChunk(state, record, now);
+      return responses.addPart(record, { case: 'data', value: event.data });
     case 'engineEnd':
       return completeRun(state, record, now);
     default:
--- a/packages/core/src/agent/engine-speed.ts
+++ b/packages/core/src/agent/engine-speed.ts
@@ -1,100 +1,107 @@
 /**
- * How fast the engine works and the start queue drains, as measured.
+ * Measured throughput of the engine and of the start queue.
  *
- * Rates are ratios of decayed sums, so that one long run among many short ones
- * does not swing them. Only time with work queued counts: an engine that idles
- * says nothing about what it could do.
+ * Rates are ratios of decaying sums, so that one long run among many short ones
+ * does not distort them. Only time with work queued counts: an engine with spare
+ * capacity does not show how much it could do.
  */
 
-/** Tokens over milliseconds; older windows count for less. */
+/** Decaying sums of tokens and of the milliseconds that they took. */
 type Rate = { tokens: number; ms: number };
 
 export type EngineSpeed = {
-  /** Work that ended, in time with work queued. */
-  throughput: Rate;
-  /** Work that left the queue for any reason but a refusal, in the same time. */
-  drain: Rate;
-  /** Work of single runs over their own time. */
-  run: Rate;
-  window: { ms: number; endedTokens: number; drainedTokens: number };
-  /** Until when time is accounted for, milliseconds since the Unix epoch. */
-  accountedMs: number;
+  /** Runs that completed, over the time with work queued. */
+  engineThroughput: Rate;
+  /** Work that left the queue other than by a refusal, over the same time. */
+  queueThroughput: Rate;
+  /** Single runs, over the duration of each. */
+  runThroughput: Rate;
+  window: { ms: number; completedTokens: number; dequeuedTokens: number };
+  /** Up to when time has been added to the window, milliseconds since the Unix epoch. */
+  accountedUntilMs: number;
 };
 
 const WINDOW_MS = 1000;
 
-/** What is left of the older windows with each new one. */
+/** Factor by which the sums of older windows shrink with each new window. */
 const WINDOW_DECAY = 0.8;
 
-/** What is left of the older runs with each new one. */
+/** Factor by which the sums of older runs shrink with each new run. */
 const RUN_DECAY = 0.95;
 
-/** Creates the measure of an engine that has done nothing yet. */
+/** Creates the measurement of an engine that has not run anything yet. */
 export function createEngineSpeed(now: number): EngineSpeed {
   return {
-    throughput: { tokens: 0, ms: 0 },
-    drain: { tokens: 0, ms: 0 },
-    run: { tokens: 0, ms: 0 },
-    window: { ms: 0, endedTokens: 0, drainedTokens: 0 },
-    accountedMs: now,
+    engineThroughput: { tokens: 0, ms: 0 },
+    queueThroughput: { tokens: 0, ms: 0 },
+    runThroughput: { tokens: 0, ms: 0 },
+    window: { ms: 0, completedTokens: 0, dequeuedTokens: 0 },
+    accountedUntilMs: now,
   };
 }
 
-/** Adds to a rate. */
+/** Adds tokens and their time to a rate and decays what it held. */
 function addToRate(rate: Rate, decay: number, tokens: number, ms: number): void {
   rate.tokens = rate.tokens * decay + tokens;
   rate.ms = rate.ms * decay + ms;
 }
 
-/** Gets tokens per second; 0 while unknown. */
+/** Converts a rate to tokens per second; 0 while unknown. */
 function toTokensPerSecond(rate: Rate): number {
   return rate.ms > 0 ? (rate.tokens / rate.ms) * 1000 : 0;
 }
 
-/** Accounts for the time since the last call; `saturated` says what held in it. */
-export function noteTime(speed: EngineSpeed, saturated: boolean, now: number): void {
+/** Adds the time since the last call to the window if work was queued in it (`saturated`). */
+export function recordTime(speed: EngineSpeed, saturated: boolean, now: number): void {
   const { window } = speed;
-  window.ms += saturated ? Math.max(now - speed.accountedMs, 0) : 0;
-  speed.accountedMs = now;
+  window.ms += saturated ? Math.max(now - speed.accountedUntilMs, 0) : 0;
+  speed.accountedUntilMs = now;
   if (window.ms >= WINDOW_MS) {
-    addToRate(speed.throughput, WINDOW_DECAY, window.endedTokens, window.ms);
-    addToRate(speed.drain, WINDOW_DECAY, window.drainedTokens, window.ms);
-    speed.window = { ms: 0, endedTokens: 0, drainedTokens: 0 };
+    addToRate(speed.engineThroughput, WINDOW_DECAY, window.completedTokens, window.ms);
+    addToRate(speed.queueThroughput, WINDOW_DECAY, window.dequeuedTokens, window.ms);
+    speed.window = { ms: 0, completedTokens: 0, dequeuedTokens: 0 };
   }
 }
 
-/** Notes a run that ended with a whole answer. */
-export function noteRun(
+/** Records a run that ended with a complete response. */
+export function recordRun(
   speed: EngineSpeed,
   tokens: number,
   runMs: number,
   saturated: boolean,
 ): void {
-  addToRate(speed.run, RUN_DECAY, tokens, runMs);
-  speed.window.endedTokens += saturated ? tokens : 0;
+  addToRate(speed.runThroughput, RUN_DECAY, tokens, runMs);
+  speed.window.completedTokens += saturated ? tokens : 0;
 }
 
-/** Notes work that left the queue to be run, here or elsewhere. */
-export function noteDrained(speed: EngineSpeed, tokens: number): void {
-  speed.window.drainedTokens += tokens;
+/** Records work that left the queue to run, here or on another backend server. */
+export function recordDequeued(speed: EngineSpeed, tokens: number): void {
+  speed.window.dequeuedTokens += tokens;
 }
 
 /**
- * Gets the engine's speed, tokens per second; 0 while unknown. Until it has
- * been measured under load it is put at what single runs reach, times the
- * places: a guess that is too high draws work and corrects itself, one too low
- * would never be tested.
+ * Returns the engine's throughput, tokens per second; 0 while unknown.
+ *
+ * Until it has been measured under load, it is estimated as that of a single
+ * run times the number of slots. An estimate that is too high attracts work and
+ * is corrected by measurement; one that is too low would never be tested.
  */
 export function getTokensPerSecond(speed: EngineSpeed, places: number): number {
-  return toTokensPerSecond(speed.throughput) || toTokensPerSecond(speed.run) * places;
+  return (
+    toTokensPerSecond(speed.engineThroughput) || toTokensPerSecond(speed.runThroughput) * places
+  );
 }
 
-/** Estimates how long a run takes by itself, milliseconds; 0 while unknown. */
+/** Estimates the duration of a run without its time in the queue, milliseconds; 0 while unknown. */
 export function estimateRunMs(speed: EngineSpeed, tokens: number): number {
-  return speed.run.tokens > 0 ? (tokens * speed.run.ms) / speed.run.tokens : 0;
+  return speed.runThroughput.tokens > 0
+    ? (tokens * speed.runThroughput.ms) / speed.runThroughput.tokens
+    : 0;
 }
 
-/** Estimates how long work waits behind queued tokens, milliseconds; 0 while unknown. */
+/** Estimates the time in the queue behind these tokens, milliseconds; 0 while unknown. */
 export function estimateWaitMs(speed: EngineSpeed, tokensAhead: number): number {
-  return speed.drain.tokens > 0 ? (tokensAhead * speed.drain.ms) / speed.drain.tokens : 0;
+  return speed.queueThroughput.tokens > 0
+    ? (tokensAhead * speed.queueThroughput.ms) / speed.queueThroughput.tokens
+    : 0;
 }
--- a/packages/core/src/agent/entry-links.ts
+++ b/packages/core/src/agent/entry-links.ts
@@ -1,4 +1,4 @@
-/** Links to entries: hello, heartbeats in both directions, and document spread. */
+/** Links to entries: hello messages, heartbeats in both directions and exchange of documents. */
 import * as schema from '@toucanproxy/schema';
 import * as documentStore from '../shared/document-store.js';
 import * as suspects from '../shared/suspects.js';
@@ -10,12 +10,12 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Opens a link and says which life answers on it. */
+/** Opens a link and announces this agent and its process incarnation. */
 export function openLink(state: agentState.AgentState, linkId: number, now: number): Effects {
   state.links.set(linkId, {
     linkId,
     entryId: '',
-    lastHeardMs: now,
+    lastReceivedMs: now,
     lastSentMs: now,
     heartbeatsSent: 0,
     suspectsRevision: -1,
@@ -26,28 +26,28 @@
     lifeBeganMs: state.lifeBeganMs,
   });
   // The heartbeat goes first: an entry with an older document learns of the
-  // newer one before the hello lets it offer anything here.
+  // newer version before the hello allows it to send offers.
   return [
     ...sendHeartbeat(state, linkId, now),
     agentMessages.sendToEntry(linkId, { case: 'hello', value: hello }),
   ];
 }
 
-/** Forgets a link; attempts go on and are resumed over another. */
+/** Removes a link; its attempts continue and can be resumed over another link. */
 export function closeLink(state: agentState.AgentState, linkId: number): void {
   state.links.delete(linkId);
   state.runs.forEach((record) => record.subscribers.delete(linkId));
 }
 
-/** Notes that a link is alive. */
-export function noteHeard(state: agentState.AgentState, linkId: number, now: number): void {
+/** Records the time of the last message received over a link. */
+export function recordReceived(state: agentState.AgentState, linkId: number, now: number): void {
   const link = state.links.get(linkId);
   if (link !== undefined) {
-    link.lastHeardMs = now;
+    link.lastReceivedMs = now;
   }
 }
 
-/** Learns which entry is at the other end. */
+/** Records which entry is at the other end of a link. */
 export function acceptHello(
   state: agentState.AgentState,
   linkId: number,
@@ -60,7 +60,7 @@
   return [];
 }
 
-/** Asks for the entry's document where it is newer than ours. */
+/** Checks the document version of an entry's heartbeat and requests the document if it is newer. */
 export function handleHeartbeat(
   state: agentState.AgentState,
   linkId: number,
@@ -68,17 +68,20 @@
   now: number,
 ): Effects {
   const conflict = documentStore.noteVersion(state.documents, heartbeat.document);
-  const theirs = heartbeat.document?.version ?? 0;
-  const newer = theirs > documentStore.getVersion(state.documents, state.service);
-  if (!newer || !documentStore.noteNewerVersion(state.newerSeen, state.service, theirs, now)) {
+  const entryVersion = heartbeat.document?.version ?? 0;
+  const isNewer = entryVersion > documentStore.getVersion(state.documents, state.service);
+  if (
+    !isNewer ||
+    !documentStore.noteNewerVersion(state.newerSeen, state.service, entryVersion, now)
+  ) {
     return conflict;
   }
   const request = schema.create(schema.DocumentRequestSchema, { service: state.service });
   return [agentMessages.sendToEntry(linkId, { case: 'documentRequest', value: request })];
 }
 
-/** Sends the document in force to an entry that asked for it. */
-export function replyDocument(
+/** Sends the active document to an entry that requested it. */
+export function sendDocument(
   state: agentState.AgentState,
   linkId: number,
   request: schema.DocumentRequest,
@@ -91,7 +94,7 @@
   return [agentMessages.sendToEntry(linkId, { case: 'documentBody', value: body })];
 }
 
-/** Describes the present load. */
+/** Describes the present load for a heartbeat. */
 function describeLoad(state: agentState.AgentState): schema.AgentLoad {
   return schema.create(schema.AgentLoadSchema, {
     queued: startQueue.countQueued(state.queue),
@@ -112,13 +115,13 @@
   }
   link.lastSentMs = now;
   link.heartbeatsSent += 1;
-  const changed = link.suspectsRevision !== state.suspects.revision;
+  const suspectsChanged = link.suspectsRevision !== state.suspects.revision;
   link.suspectsRevision = state.suspects.revision;
   const heartbeat = schema.create(schema.AgentHeartbeatSchema, {
     document: documentStore.describeVersion(state.documents, state.service),
     sequence: link.heartbeatsSent,
     load: describeLoad(state),
-    suspects: changed ? suspects.listSuspects(state.suspects) : [],
+    suspects: suspectsChanged ? suspects.listSuspects(state.suspects) : [],
   });
   return [agentMessages.sendToEntry(linkId, { case: 'heartbeat', value: heartbeat })];
 }
@@ -129,20 +132,20 @@
 }
 
 /**
- * Sends heartbeats that are due and gives up links that have gone silent.
+ * Sends heartbeats that are due and closes links over which nothing was received in time.
  *
- * A middlebox may have lost a connection while both ends think it open: bytes
- * vanish and no error comes. Heartbeats in both directions turn that silence
- * into a close, and the entry resumes over a new connection.
+ * A middlebox may drop a connection that both ends consider open: bytes are
+ * lost without an error. Heartbeats in both directions detect this; the link is
+ * closed, and the entry resumes its attempts over a new connection.
  */
 export function sendDueHeartbeats(state: agentState.AgentState, now: number): Effects {
   const timing = agentState.getTiming(state);
   return [...state.links.values()].flatMap((link): Effects => {
-    if (now - link.lastHeardMs > timing.heartbeatTimeoutMs) {
+    if (now - link.lastReceivedMs > timing.heartbeatTimeoutMs) {
       closeLink(state, link.linkId);
       return [{ kind: 'closeLink', linkId: link.linkId }];
     }
-    const due = now - link.lastSentMs >= timing.heartbeatIntervalMs;
-    return due ? sendHeartbeat(state, link.linkId, now) : [];
+    const isDue = now - link.lastSentMs >= timing.heartbeatIntervalMs;
+    return isDue ? sendHeartbeat(state, link.linkId, now) : [];
   });
 }
--- a/packages/core/src/agent/handle-agent-event.ts
+++ b/packages/core/src/agent/handle-agent-event.ts
@@ -1,10 +1,10 @@
-/** The agent's decisions: one event in, the effects it calls for out. */
+/** The agent's event loop: applies one event to the state and returns the resulting effects. */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as suspects from '../shared/suspects.js';
 import * as agentEvent from './agent-event.js';
 import * as agentState from './agent-state.js';
-import * as answers from './answers.js';
+import * as responses from './responses.js';
 import * as claims from './claims.js';
 import * as crashSuspects from './crash-suspects.js';
 import * as engineAvailability from './engine-availability.js';
@@ -16,14 +16,14 @@
 import * as places from './places.js';
 import * as refusals from './refusals.js';
 import * as reservations from './reservations.js';
-import * as runMemory from './run-memory.js';
+import * as runRetention from './run-retention.js';
 import * as runs from './runs.js';
 import * as startQueue from '../shared/start-queue.js';
 
 type Effects = agentEvent.AgentEffect[];
 type EventOf<K extends agentEvent.AgentEvent['kind']> = Extract<agentEvent.AgentEvent, { kind: K }>;
 
-/** Routes one message of an entry to its decision. */
+/** Dispatches one message of an entry to its handler. */
 function handleEntryMessage(
   state: agentState.AgentState,
   event: EventOf<'entryMessage'>,
@@ -31,14 +31,14 @@
 ): Effects {
   const { linkId } = event;
   const { body } = event.message;
-  entryLinks.noteHeard(state, linkId, now);
+  entryLinks.recordReceived(state, linkId, now);
   switch (body.case) {
     case 'hello':
       return entryLinks.acceptHello(state, linkId, body.value);
     case 'heartbeat':
       return [
         ...entryLinks.handleHeartbeat(state, linkId, body.value, now),
-        ...crashSuspects.mergeHeard(state, body.value.suspects, now),
+        ...crashSuspects.mergeReceived(state, body.value.suspects, now),
       ];
     case 'offer':
       return offers.acceptOffer(state, linkId, body.value, now);
@@ -54,13 +54,13 @@
       return offers.cancel(state, linkId, body.value, now);
     case 'acknowledge':
       if (body.value.ref !== undefined) {
-        answers.acknowledge(state, attemptRef.toRefKey(body.value.ref), body.value.nextSequence);
+        responses.acknowledge(state, attemptRef.toRefKey(body.value.ref), body.value.nextSequence);
       }
       return [];
     case 'claim':
       return claims.replyClaim(state, linkId, body.value, now);
     case 'documentRequest':
-      return entryLinks.replyDocument(state, linkId, body.value);
+      return entryLinks.sendDocument(state, linkId, body.value);
     case 'documentBody':
       return [{ kind: 'documentReceived', json: body.value.json }];
     default:
@@ -68,12 +68,12 @@
   }
 }
 
-/** Forgets attempts whose late copies would be refused as stale anyway. */
+/** Forgets ended attempts once a late copy of their offer would be refused as stale. */
 function expireRecords(state: agentState.AgentState, now: number): void {
   const timing = agentState.getTiming(state);
   const keepMs = timing.keyWindowMs + 2 * timing.clockSkewMs;
-  runMemory.takeEndedBefore(state.memory, now - keepMs).forEach((refKey) => {
-    runMemory.forgetAnswer(state.memory, refKey);
+  runRetention.takeEndedBefore(state.retention, now - keepMs).forEach((refKey) => {
+    runRetention.forgetResponse(state.retention, refKey);
     state.runs.delete(refKey);
   });
 }
@@ -87,9 +87,9 @@
     );
 }
 
-/** Does what is due by time alone. */
+/** Does the work that falls due by time alone. */
 function handleTick(state: agentState.AgentState, now: number): Effects {
-  places.noteTime(state, now);
+  places.recordTime(state, now);
   expireRecords(state, now);
   suspects.expireSuspects(state.suspects, now);
   return [
@@ -116,7 +116,7 @@
       return entryLinks.openLink(state, event.linkId, now);
     case 'linkClosed':
       entryLinks.closeLink(state, event.linkId);
-      return reservations.dropLink(state, event.linkId, now);
+      return reservations.releaseLink(state, event.linkId, now);
     case 'entryMessage':
       return handleEntryMessage(state, event, now);
     case 'engineHead':
--- a/packages/core/src/agent/holds.ts
+++ b/packages/core/src/agent/holds.ts
@@ -1,4 +1,4 @@
-/** Places that are kept free for requests on their way. */
+/** Slots of the engine that are held for requests whose offers are expected. */
 import * as effect from '../shared/effect.js';
 import * as agentEvent from './agent-event.js';
 import * as agentMessages from './agent-messages.js';
@@ -7,13 +7,13 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Tells an entry that a place is held for its request. */
+/** Grants an entry the slot that is held for its request, for the rest of the hold. */
 export function sendGrant(hold: reservation.Hold, now: number): agentEvent.AgentEffect {
   const holdMs = Math.max(Math.ceil(hold.untilMs - now), 0);
   return agentMessages.sendToEntry(hold.linkId, agentMessages.buildGrant(hold.requestId, holdMs));
 }
 
-/** Holds a place for a reservation; it counts as used until given up. */
+/** Holds a slot for a reservation; it counts as used until it is dropped. */
 export function holdPlace(
   state: agentState.AgentState,
   queued: reservation.Reservation,
@@ -37,7 +37,7 @@
   ];
 }
 
-/** Frees a held place; undefined where none was held. */
+/** Frees a held slot and returns its hold; undefined where none was held. */
 export function dropHold(
   state: agentState.AgentState,
   requestId: string,
@@ -50,10 +50,10 @@
   return hold;
 }
 
-/** Gives up places whose requests have not come in time. */
+/** Frees slots whose requests were not offered in time. */
 export function expireHolds(state: agentState.AgentState, now: number): Effects {
-  const lapsed = [...state.holds.values()].filter((hold) => now >= hold.untilMs);
-  return lapsed.map((hold) => {
+  const expired = [...state.holds.values()].filter((hold) => now >= hold.untilMs);
+  return expired.map((hold) => {
     dropHold(state, hold.requestId);
     return effect.logDecision('hold-lapsed', { request: hold.requestId });
   });
--- a/packages/core/src/agent/index.ts
+++ b/packages/core/src/agent/index.ts
@@ -1,4 +1,4 @@
-/** The agent's decisions. */
+/** The agent's core: its events, effects, state and event handler. */
 export * from './agent-event.js';
 export { createAgentState, type AgentIdentity, type AgentState } from './agent-state.js';
 export * from './handle-agent-event.js';
--- a/packages/core/src/agent/leaving.test.ts
+++ b/packages/core/src/agent/leaving.test.ts
@@ -3,68 +3,68 @@
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as agentEvent from './agent-event.js';
-import * as bench from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-bench.js';
 
-nodeTest.test('leaving by document refuses what has not started', () => {
-  // The document declares the backend server leaving. What is queued is
-  // confirmed as not run at once; what runs ends with its whole answer.
-  const agent = bench.createBench({ maxRunning: 1 });
-  bench.offer(agent, 'running');
-  bench.offer(agent, 'queued');
-  const effects = bench.setLimits(agent, {}, schema.BackendServerState.LEAVING);
-  assert.equal(bench.listSent(effects, 'notRun')[0].code, schema.ResultCode.SHUTTING_DOWN);
-  assert.equal(bench.listSent(effects, 'heartbeat')[0].load?.leaving, true);
-  assert.equal(bench.listSent(bench.complete(agent, 'running'), 'part').length, 2);
-  assert.equal(bench.listSent(bench.offer(agent, 'late'), 'notRun').length, 1);
-  bench.setLimits(agent, {});
-  assert.deepEqual(bench.listStarted(bench.offer(agent, 'back')), ['back']);
+nodeTest.test('an agent that its document marks as leaving refuses what has not started', () => {
+  // The document marks the backend server as leaving. Queued attempts are
+  // confirmed as not run at once; running ones end with a complete response.
+  const agent = agentFixture.createBench({ maxRunning: 1 });
+  agentFixture.offer(agent, 'running');
+  agentFixture.offer(agent, 'queued');
+  const effects = agentFixture.setLimits(agent, {}, schema.BackendServerState.LEAVING);
+  assert.equal(agentFixture.listSent(effects, 'notRun')[0].code, schema.ResultCode.SHUTTING_DOWN);
+  assert.equal(agentFixture.listSent(effects, 'heartbeat')[0].load?.leaving, true);
+  assert.equal(agentFixture.listSent(agentFixture.complete(agent, 'running'), 'part').length, 2);
+  assert.equal(agentFixture.listSent(agentFixture.offer(agent, 'late'), 'notRun').length, 1);
+  agentFixture.setLimits(agent, {});
+  assert.deepEqual(agentFixture.listStarted(agentFixture.offer(agent, 'back')), ['back']);
 });
 
-nodeTest.test('a document from before the agent was added', () => {
-  // The agent starts before the document that names it is published and reads
-  // an older one. It takes no work then, and must not take itself as removed
-  // for good.
-  const agent = bench.createBench();
-  agent.state.backendServerId = 'runner-2';
-  bench.setLimits(agent, {});
-  assert.equal(bench.listSent(bench.offer(agent, 'one'), 'notRun').length, 1);
-  agent.state.backendServerId = bench.SERVER_ID;
-  bench.setLimits(agent, {});
-  assert.deepEqual(bench.listStarted(bench.offer(agent, 'two')), ['two']);
+nodeTest.test('a document older than the agent does not remove it for good', () => {
+  // The agent starts before the document that lists it is published, and reads an
+  // older one. Until the newer one arrives it accepts no work, but it must not
+  // consider itself removed for good.
+  const agent = agentFixture.createBench();
+  agent.state.backendServerId = 'server-2';
+  agentFixture.setLimits(agent, {});
+  assert.equal(agentFixture.listSent(agentFixture.offer(agent, 'one'), 'notRun').length, 1);
+  agent.state.backendServerId = agentFixture.SERVER_ID;
+  agentFixture.setLimits(agent, {});
+  assert.deepEqual(agentFixture.listStarted(agentFixture.offer(agent, 'two')), ['two']);
 });
 
-nodeTest.test('the list of VMs may speak of an earlier VM', () => {
-  // The list lags. It still calls this address leaving, which the VM before
-  // had; once it has caught up the agent takes work.
-  const agent = bench.createBench();
-  bench.handle(agent, { kind: 'vmLeaving', leaving: true });
-  assert.equal(bench.listSent(bench.offer(agent, 'one'), 'notRun').length, 1);
-  bench.handle(agent, { kind: 'vmLeaving', leaving: false });
-  assert.deepEqual(bench.listStarted(bench.offer(agent, 'two')), ['two']);
+nodeTest.test('a stale list of VMs may refer to an earlier VM', () => {
+  // The list still marks this address as leaving, which an earlier VM had. Once
+  // the list is up to date the agent accepts work.
+  const agent = agentFixture.createBench();
+  agentFixture.handle(agent, { kind: 'vmLeaving', leaving: true });
+  assert.equal(agentFixture.listSent(agentFixture.offer(agent, 'one'), 'notRun').length, 1);
+  agentFixture.handle(agent, { kind: 'vmLeaving', leaving: false });
+  assert.deepEqual(agentFixture.listStarted(agentFixture.offer(agent, 'two')), ['two']);
 });
 
-nodeTest.test('a graceful shutdown waits until its answers have arrived', () => {
-  // SIGTERM comes while a request runs. The run ends, but the last parts are
-  // still on their way; a process that stopped now would cut the answer short.
-  const agent = bench.createBench();
-  bench.offer(agent, 'running');
+nodeTest.test('a graceful shutdown waits until its responses are acknowledged', () => {
+  // SIGTERM arrives while a request runs. The run ends, but the last parts are
+  // still in transit; stopping now would truncate the response.
+  const agent = agentFixture.createBench();
+  agentFixture.offer(agent, 'running');
   const stops = (effects: agentEvent.AgentEffect[]) =>
     effects.some((effect) => effect.kind === 'stopped');
-  assert.equal(stops(bench.handle(agent, { kind: 'shutdownStarted' })), false);
-  assert.equal(stops(bench.complete(agent, 'running')), false);
-  assert.equal(stops(bench.advance(agent, 1000)), false);
+  assert.equal(stops(agentFixture.handle(agent, { kind: 'shutdownStarted' })), false);
+  assert.equal(stops(agentFixture.complete(agent, 'running')), false);
+  assert.equal(stops(agentFixture.advance(agent, 1000)), false);
   const fields = { ref: attemptRef.buildRef('running', 1), nextSequence: 2 };
   const value = schema.create(schema.AcknowledgeSchema, fields);
-  bench.receive(agent, { case: 'acknowledge', value });
-  assert.equal(stops(bench.advance(agent, 250)), true);
+  agentFixture.receive(agent, { case: 'acknowledge', value });
+  assert.equal(stops(agentFixture.advance(agent, 250)), true);
 });
 
-nodeTest.test('a graceful shutdown ends though an entry is gone', () => {
-  const agent = bench.createBench();
-  bench.offer(agent, 'running');
-  bench.handle(agent, { kind: 'shutdownStarted' });
-  bench.complete(agent, 'running');
-  bench.advance(agent, 25);
-  const effects = bench.advance(agent, 10_000);
+nodeTest.test('a graceful shutdown ends although an entry is gone', () => {
+  const agent = agentFixture.createBench();
+  agentFixture.offer(agent, 'running');
+  agentFixture.handle(agent, { kind: 'shutdownStarted' });
+  agentFixture.complete(agent, 'running');
+  agentFixture.advance(agent, 25);
+  const effects = agentFixture.advance(agent, 10_000);
   assert.ok(effects.some((effect) => effect.kind === 'stopped'));
 });
--- a/packages/core/src/agent/leaving.ts
+++ b/packages/core/src/agent/leaving.ts
@@ -1,4 +1,4 @@
-/** Stops taking new work while what runs goes on to its end. */
+/** Graceful shutdown: refuses new and queued work while running attempts complete. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as documentStore from '../shared/document-store.js';
@@ -10,13 +10,13 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Time for messages that nobody acknowledges to leave the process, milliseconds. */
+/** Time for unacknowledged messages to be written out before the process stops, milliseconds. */
 const FLUSH_MS = 250;
 
-/** How long answers wait for their acknowledgement, milliseconds. */
+/** Maximum wait for the acknowledgement of responses, milliseconds. */
 const ACKNOWLEDGE_WAIT_MS = 10_000;
 
-/** Brings the agent in line with the reasons to leave that hold now. */
+/** Recomputes whether the agent is leaving; on a change reports it, and refuses what is queued. */
 function updateLeaving(state: agentState.AgentState, now: number): Effects {
   const before = state.leaving;
   state.leaving = state.shutdownStarted || state.vmLeaving || state.documentLeaving;
@@ -29,7 +29,7 @@
   return [...refused, ...entryLinks.sendHeartbeats(state, now)];
 }
 
-/** Takes a newer document into force. */
+/** Makes a newer document the active one. */
 export function applyDocument(
   state: agentState.AgentState,
   stored: documentStore.StoredDocument,
@@ -49,7 +49,7 @@
   return [effect.logDecision('document', fields), ...updateLeaving(state, now)];
 }
 
-/** Takes what the platform's list says of this agent's VM. */
+/** Records whether the platform lists this agent's VM as leaving. */
 export function setVmLeaving(
   state: agentState.AgentState,
   vmLeaving: boolean,
@@ -66,11 +66,11 @@
 }
 
 /**
- * Stops once shutting down, with nothing queued or running.
+ * Stops a shutting-down agent that has nothing queued or running.
  *
- * Parts of the last answers may still be on their way when the runs have ended;
- * stopping then would cut them short for their callers. The agent waits until
- * entries have acknowledged them, for a bounded time where an entry is gone.
+ * Parts of the last responses may still be in transit when the runs have ended;
+ * stopping then would truncate them. The agent waits until the entries have
+ * acknowledged them, but only for a bounded time, as an entry may be gone.
  */
 export function stopWhenIdle(state: agentState.AgentState, now: number): Effects {
   const busy = startQueue.countQueued(state.queue) > 0 || state.running.size > 0;
@@ -80,7 +80,7 @@
   }
   state.idleSinceMs ??= now;
   const idleMs = now - state.idleSinceMs;
-  const received = state.memory.waiting.size === 0 && idleMs >= FLUSH_MS;
+  const received = state.retention.waiting.size === 0 && idleMs >= FLUSH_MS;
   if (!received && idleMs < ACKNOWLEDGE_WAIT_MS) {
     return [];
   }
--- a/packages/core/src/agent/mocks/agent-bench.ts
+++ b/packages/core/src/agent/mocks/agent-bench.ts
@@ -1,4 +1,4 @@
-/** Drives an agent's core in tests: builds events and reads its effects. */
+/** Test fixture that drives an agent's core: builds events and filters effects. */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../../shared/attempt-ref.js';
 import * as agentEvent from '../agent-event.js';
@@ -8,7 +8,7 @@
 export const LINK_ID = 1;
 export const LIFE = 'life-1';
 export const SERVICE = 'brimwit';
-export const SERVER_ID = 'runner-1';
+export const SERVER_ID = 'server-1';
 
 export type Bench = {
   state: agentState.AgentState;
@@ -16,62 +16,62 @@
   version: number;
 };
 
-/** Fields of a message, any of them left out. */
+/** Optional fields of a message. */
 type Fields<T> = Partial<Omit<T, '$typeName' | '$unknown'>>;
 
 type Sent = schema.AgentMessage['body'];
 type SentOf<C extends Sent['case']> = Extract<Sent, { case: C }>;
 
-/** Applies one event at the bench's present time. */
-export function handle(bench: Bench, event: agentEvent.AgentEvent): agentEvent.AgentEffect[] {
-  return handleAgentEvent.handleAgentEvent(bench.state, event, bench.now);
+/** Applies one event at the fixture's present time. */
+export function handle(fixture: Bench, event: agentEvent.AgentEvent): agentEvent.AgentEffect[] {
+  return handleAgentEvent.handleAgentEvent(fixture.state, event, fixture.now);
 }
 
-/** Passes time and applies a tick. */
-export function advance(bench: Bench, ms: number): agentEvent.AgentEffect[] {
-  bench.now += ms;
-  return handle(bench, { kind: 'ticked' });
+/** Advances the clock and applies a tick. */
+export function advance(fixture: Bench, ms: number): agentEvent.AgentEffect[] {
+  fixture.now += ms;
+  return handle(fixture, { kind: 'ticked' });
 }
 
-/** Puts a document with these limits in force. */
+/** Activates a document with these limits. */
 export function setLimits(
-  bench: Bench,
+  fixture: Bench,
   limits: Fields<schema.Limits>,
   serverState = schema.BackendServerState.ACTIVE,
 ): agentEvent.AgentEffect[] {
-  bench.version += 1;
+  fixture.version += 1;
   const document = schema.create(schema.ServiceDocumentSchema, {
     service: SERVICE,
-    version: bench.version,
+    version: fixture.version,
     limits,
     backendServers: [{ id: SERVER_ID, state: serverState }],
   });
-  return handle(bench, { kind: 'documentRead', stored: { document, json: '{}' } });
+  return handle(fixture, { kind: 'documentRead', stored: { document, json: '{}' } });
 }
 
 /** Creates an agent with one open link and these limits. */
 export function createBench(limits: Fields<schema.Limits> = {}): Bench {
   const now = 1_000_000;
   const identity = { backendServerId: SERVER_ID, service: SERVICE, life: LIFE };
-  const bench = { state: agentState.createAgentState(identity, now), now, version: 0 };
-  handle(bench, { kind: 'linkOpened', linkId: LINK_ID });
-  setLimits(bench, limits);
-  return bench;
+  const fixture = { state: agentState.createAgentState(identity, now), now, version: 0 };
+  handle(fixture, { kind: 'linkOpened', linkId: LINK_ID });
+  setLimits(fixture, limits);
+  return fixture;
 }
 
 /** Applies one message of an entry. */
 export function receive(
-  bench: Bench,
+  fixture: Bench,
   body: schema.EntryMessage['body'],
   linkId = LINK_ID,
 ): agentEvent.AgentEffect[] {
   const message = schema.create(schema.EntryMessageSchema, { body });
-  return handle(bench, { kind: 'entryMessage', linkId, message });
+  return handle(fixture, { kind: 'entryMessage', linkId, message });
 }
 
-/** Offers a request. */
+/** Applies the offer of a request. */
 export function offer(
-  bench: Bench,
+  fixture: Bench,
   requestId: string,
   fields: Fields<schema.Offer> = {},
 ): agentEvent.AgentEffect[] {
@@ -80,18 +80,18 @@
     agentLife: LIFE,
     workspace: 'brim',
     weight: 1,
-    issuedMs: bench.now,
-    deadlineMs: bench.now + 60_000,
+    issuedMs: fixture.now,
+    deadlineMs: fixture.now + 60_000,
     estimatedTokens: 100,
     contentDigest: `digest-${requestId}`,
     ...fields,
   });
-  return receive(bench, { case: 'offer', value });
+  return receive(fixture, { case: 'offer', value });
 }
 
-/** Asks for a place. */
+/** Applies the reservation of a slot. */
 export function reserve(
-  bench: Bench,
+  fixture: Bench,
   requestId: string,
   fields: Fields<schema.Reserve> = {},
 ): agentEvent.AgentEffect[] {
@@ -99,35 +99,35 @@
     requestId,
     workspace: 'brim',
     weight: 1,
-    deadlineMs: bench.now + 60_000,
+    deadlineMs: fixture.now + 60_000,
     estimatedTokens: 100,
     ...fields,
   });
-  return receive(bench, { case: 'reserve', value });
+  return receive(fixture, { case: 'reserve', value });
 }
 
-/** Gives up a reservation or a place. */
-export function release(bench: Bench, requestId: string): agentEvent.AgentEffect[] {
+/** Applies the release of a reservation or a held slot. */
+export function release(fixture: Bench, requestId: string): agentEvent.AgentEffect[] {
   const value = schema.create(schema.ReleaseSchema, { requestId });
-  return receive(bench, { case: 'release', value });
+  return receive(fixture, { case: 'release', value });
 }
 
-/** Lets the engine answer an attempt whole. */
-export function complete(bench: Bench, requestId: string): agentEvent.AgentEffect[] {
+/** Lets the engine complete an attempt. */
+export function complete(fixture: Bench, requestId: string): agentEvent.AgentEffect[] {
   const refKey = `${requestId}#1`;
   return [
-    ...handle(bench, { kind: 'engineHead', refKey, status: 200, contentType: 'text/plain' }),
-    ...handle(bench, { kind: 'engineEnd', refKey }),
+    ...handle(fixture, { kind: 'engineHead', refKey, status: 200, contentType: 'text/plain' }),
+    ...handle(fixture, { kind: 'engineEnd', refKey }),
   ];
 }
 
-/** Lets an attempt fail on the engine. */
+/** Lets an attempt end with an engine fault. */
 export function fail(
-  bench: Bench,
+  fixture: Bench,
   requestId: string,
   fault: agentEvent.EngineFault,
 ): agentEvent.AgentEffect[] {
-  return handle(bench, { kind: 'engineFailed', refKey: `${requestId}#1`, fault });
+  return handle(fixture, { kind: 'engineFailed', refKey: `${requestId}#1`, fault });
 }
 
 /** Lists the requests that were handed to the engine. */
@@ -137,7 +137,7 @@
   );
 }
 
-/** Lists the messages of one kind that went to entries. */
+/** Lists the messages of one kind that were sent to entries. */
 export function listSent<C extends Sent['case']>(
   effects: agentEvent.AgentEffect[],
   name: C,
--- a/packages/core/src/agent/mocks/batch-engine.ts
+++ b/packages/core/src/agent/mocks/batch-engine.ts
@@ -1,8 +1,8 @@
-/** A model engine under a virtual clock: a batch, and a queue that knows no tiers. */
+/** A simulated model engine under a virtual clock: a batch, and a queue without tiers. */
 import * as agentEvent from '../agent-event.js';
-import * as bench from './agent-bench.js';
+import * as agentFixture from './agent-bench.js';
 
-type Run = { refKey: string; prefillSteps: number; tokensLeft: number; begun: boolean };
+type Run = { refKey: string; prefillSteps: number; tokensLeft: number; headSent: boolean };
 
 export type BatchEngine = {
   maxBatch: number;
@@ -13,10 +13,10 @@
 export const STEP_MS = 4;
 const PREFILL_TOKENS_PER_STEP = 512;
 const BYTES_PER_TOKEN = 4;
-const STREAM = 'text/event-stream';
-const PIECE = new Uint8Array(1);
+const EVENT_STREAM = 'text/event-stream';
+const CHUNK = new Uint8Array(1);
 
-/** Takes in what the agent starts; an answer has half of the estimated tokens. */
+/** Queues what the agent starts; a response has half of the estimated tokens. */
 export function admit(engine: BatchEngine, effects: agentEvent.AgentEffect[]): void {
   effects.forEach((effect) => {
     if (effect.kind === 'startOnEngine') {
@@ -24,13 +24,13 @@
       const promptTokens = offer.payload.length / BYTES_PER_TOKEN;
       const prefillSteps = Math.ceil(promptTokens / PREFILL_TOKENS_PER_STEP);
       const tokensLeft = Math.ceil(offer.estimatedTokens / 2);
-      engine.waiting.push({ refKey, prefillSteps, tokensLeft, begun: false });
+      engine.waiting.push({ refKey, prefillSteps, tokensLeft, headSent: false });
     }
   });
 }
 
-/** Gives one run its part of a step and reports what comes of it. */
-function advanceRun(agent: bench.Bench, run: Run): agentEvent.AgentEffect[] {
+/** Advances one run by a step and reports its events to the agent. */
+function advanceRun(agent: agentFixture.Bench, run: Run): agentEvent.AgentEffect[] {
   const { refKey } = run;
   if (run.prefillSteps > 0) {
     run.prefillSteps -= 1;
@@ -38,20 +38,20 @@
   }
   run.tokensLeft -= 1;
   const effects: agentEvent.AgentEffect[] = [];
-  if (!run.begun) {
-    run.begun = true;
-    const head = { kind: 'engineHead', refKey, status: 200, contentType: STREAM } as const;
-    effects.push(...bench.handle(agent, head));
+  if (!run.headSent) {
+    run.headSent = true;
+    const head = { kind: 'engineHead', refKey, status: 200, contentType: EVENT_STREAM } as const;
+    effects.push(...agentFixture.handle(agent, head));
   }
-  effects.push(...bench.handle(agent, { kind: 'engineData', refKey, data: PIECE }));
+  effects.push(...agentFixture.handle(agent, { kind: 'engineData', refKey, data: CHUNK }));
   if (run.tokensLeft <= 0) {
-    effects.push(...bench.handle(agent, { kind: 'engineEnd', refKey }));
+    effects.push(...agentFixture.handle(agent, { kind: 'engineEnd', refKey }));
   }
   return effects;
 }
 
-/** Does one step. */
-export function advance(engine: BatchEngine, agent: bench.Bench): agentEvent.AgentEffect[] {
+/** Fills the batch and advances its runs by one step. */
+export function advance(engine: BatchEngine, agent: agentFixture.Bench): agentEvent.AgentEffect[] {
   while (engine.batch.length < engine.maxBatch && engine.waiting.length > 0) {
     engine.batch.push(engine.waiting.shift() as Run);
   }
--- a/packages/core/src/agent/offers.ts
+++ b/packages/core/src/agent/offers.ts
@@ -1,4 +1,4 @@
-/** Decides on offers, withdrawals, resumptions and cancellations. */
+/** Handles offers, withdrawals, resumptions and cancellations. */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as effect from '../shared/effect.js';
@@ -8,18 +8,18 @@
 import * as agentEvent from './agent-event.js';
 import * as agentMessages from './agent-messages.js';
 import * as agentState from './agent-state.js';
-import * as answers from './answers.js';
+import * as responses from './responses.js';
 import * as holds from './holds.js';
 import * as refusals from './refusals.js';
 import * as reservations from './reservations.js';
-import * as runMemory from './run-memory.js';
+import * as runRetention from './run-retention.js';
 import * as runRecord from './run-record.js';
 import * as runs from './runs.js';
 import * as startQueue from '../shared/start-queue.js';
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Queues an offer, or starts it where a place is held for it. */
+/** Queues an offer, or starts it at once where a slot is held for it. */
 function enqueueOffer(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
@@ -30,10 +30,10 @@
   reservations.dropQueued(state, requestId);
   const held = holds.dropHold(state, requestId) !== undefined;
   const demand = { ...offer, requestId };
-  // A suspect waits until nothing else runs, also where a place is held for it.
+  // A suspect waits until nothing else runs, even where a slot is held for it.
   const alone = suspects.isSuspect(state.suspects, offer.contentDigest);
   if (held && !alone && admission.findRefusal(state, demand, now) === undefined) {
-    return runs.startOne(state, record, now);
+    return runs.startAttempt(state, record, now);
   }
   const admitted = admission.admit(state, demand, now);
   if (admitted.kind === 'refused') {
@@ -52,14 +52,14 @@
     estimatedTokens: offer.estimatedTokens,
     deadlineMs: offer.deadlineMs,
   });
-  const accepted = answers.publish(record, agentMessages.buildAccepted(record.ref));
+  const accepted = responses.publish(record, agentMessages.buildAccepted(record.ref));
   return [...admitted.effects, ...accepted, ...runs.startQueued(state, now)];
 }
 
 /**
- * Tells whether an offer is too old to be taken.
+ * Whether an offer is too old to be accepted.
  *
- * A copy that was held up (a paused process, a silent link) may arrive after
+ * A copy that was delayed by a paused process or a stalled link may arrive after
  * the record of its attempt has expired, and would then run again. Records are
  * kept longer than offers are accepted, so refusing old offers is enough.
  */
@@ -67,13 +67,13 @@
   return now - offer.issuedMs > agentState.getTiming(state).keyWindowMs;
 }
 
-/** Tells an entry that this life cannot say what an earlier one did. */
-function replyOtherLife(linkId: number, ref: schema.AttemptRef): Effects {
+/** Replies that the agent has restarted: the attempt belongs to an earlier process incarnation. */
+function replyAgentRestarted(linkId: number, ref: schema.AttemptRef): Effects {
   const body = agentMessages.buildRunFailed(ref, schema.ResultCode.AGENT_RESTARTED);
   return [agentMessages.sendToEntry(linkId, body)];
 }
 
-/** Decides on an offer. A copy of a known attempt never starts again. */
+/** Handles an offer. A copy of the offer of a known attempt never starts it again. */
 export function acceptOffer(
   state: agentState.AgentState,
   linkId: number,
@@ -85,13 +85,13 @@
     return [];
   }
   if (offer.agentLife !== state.life) {
-    return replyOtherLife(linkId, ref);
+    return replyAgentRestarted(linkId, ref);
   }
   const refKey = attemptRef.toRefKey(ref);
   const known = state.runs.get(refKey);
   if (known !== undefined) {
     const dropped = { kind: 'dropped', reason: effect.DropReason.DUPLICATE } as const;
-    return [effect.observe(dropped), ...answers.subscribe(known, linkId, 0)];
+    return [effect.observe(dropped), ...responses.subscribe(known, linkId, 0)];
   }
   const record = runRecord.makeRunRecord(refKey, ref, offer, now);
   record.subscribers.add(linkId);
@@ -105,12 +105,12 @@
 }
 
 /**
- * Finds the record of an attempt, or makes a tombstone where none is known.
+ * Finds the record of an attempt, or creates a tombstone for an unknown one.
  *
- * The offer may still be on its way. With the tombstone in place it is refused
- * when it comes, so that "not run" stays true. Undefined where the record may
- * have expired: an entry that was paused asks late, and "not run" would be
- * wrong for an attempt that ran and was forgotten.
+ * The offer may still be in transit. The tombstone makes sure that it is refused
+ * on arrival, so that "not run" stays true. Undefined where the record may have
+ * expired: a paused entry may ask that late, and "not run" would be wrong for an
+ * attempt that ran and was forgotten.
  */
 function findOrMakeTombstone(
   state: agentState.AgentState,
@@ -128,78 +128,78 @@
   }
   const tombstone = runRecord.makeRunRecord(refKey, ref, undefined, now);
   tombstone.code = schema.ResultCode.CANCELLED;
-  runMemory.noteEnded(state.memory, refKey, now);
+  runRetention.recordEnded(state.retention, refKey, now);
   state.runs.set(refKey, tombstone);
   return tombstone;
 }
 
-/** Tells an entry that this agent may have forgotten an attempt. */
-function replyForgotten(linkId: number, ref: schema.AttemptRef): Effects {
+/** Replies that it is unknown whether an attempt ran, as its record may have expired. */
+function replyUndecided(linkId: number, ref: schema.AttemptRef): Effects {
   const body = agentMessages.buildRunFailed(ref, schema.ResultCode.KEY_UNDECIDED);
   return [agentMessages.sendToEntry(linkId, body)];
 }
 
-/** What withdrawals and resumptions have in common. */
-type Question = { ref?: schema.AttemptRef; agentLife: string; issuedMs: number };
+/** The fields of a withdrawal or a resumption that identify the attempt. */
+type AttemptQuery = { ref?: schema.AttemptRef; agentLife: string; issuedMs: number };
 
-type Answer =
+type AttemptLookup =
   | { kind: 'known'; record: runRecord.RunRecord }
-  /** This agent cannot say what became of the attempt, or was not asked. */
-  | { kind: 'untold'; effects: Effects };
+  /** The message names no attempt, or its outcome is unknown here; the effects reply so. */
+  | { kind: 'undetermined'; effects: Effects };
 
-/** Finds the attempt that an entry asks about. */
-function findAsked(
+/** Finds the attempt that a withdrawal or a resumption refers to. */
+function resolveQuery(
   state: agentState.AgentState,
   linkId: number,
-  question: Question,
+  query: AttemptQuery,
   now: number,
-): Answer {
-  const { ref } = question;
+): AttemptLookup {
+  const { ref } = query;
   if (ref === undefined) {
-    return { kind: 'untold', effects: [] };
+    return { kind: 'undetermined', effects: [] };
   }
-  if (question.agentLife !== state.life) {
-    return { kind: 'untold', effects: replyOtherLife(linkId, ref) };
+  if (query.agentLife !== state.life) {
+    return { kind: 'undetermined', effects: replyAgentRestarted(linkId, ref) };
   }
-  const record = findOrMakeTombstone(state, ref, question.issuedMs, now);
+  const record = findOrMakeTombstone(state, ref, query.issuedMs, now);
   return record === undefined
-    ? { kind: 'untold', effects: replyForgotten(linkId, ref) }
+    ? { kind: 'undetermined', effects: replyUndecided(linkId, ref) }
     : { kind: 'known', record };
 }
 
-/** Answers an entry that wants an attempt confirmed as not run. */
+/** Withdraws an attempt: refuses it if it is still queued, otherwise reports its status. */
 export function withdraw(
   state: agentState.AgentState,
   linkId: number,
   request: schema.Withdraw,
   now: number,
 ): Effects {
-  const answer = findAsked(state, linkId, request, now);
-  if (answer.kind === 'untold') {
-    return answer.effects;
+  const lookup = resolveQuery(state, linkId, request, now);
+  if (lookup.kind === 'undetermined') {
+    return lookup.effects;
   }
-  const { record } = answer;
+  const { record } = lookup;
   if (record.status !== runRecord.RunStatus.QUEUED) {
-    return answers.subscribe(record, linkId, record.parts.length);
+    return responses.subscribe(record, linkId, record.parts.length);
   }
   record.subscribers.add(linkId);
   return refusals.refuseAttempt(state, record, schema.ResultCode.CANCELLED, now);
 }
 
-/** Sends an entry what it misses of an attempt. */
+/** Sends an entry the parts of a response that it lacks, and subscribes it to the rest. */
 export function resume(
   state: agentState.AgentState,
   linkId: number,
   request: schema.Resume,
   now: number,
 ): Effects {
-  const answer = findAsked(state, linkId, request, now);
-  if (answer.kind === 'untold') {
-    return answer.effects;
+  const lookup = resolveQuery(state, linkId, request, now);
+  if (lookup.kind === 'undetermined') {
+    return lookup.effects;
   }
-  const { record } = answer;
-  // An entry that asks for another workspace's attempt has crossed its
-  // requests; answering would show one workspace's work to another.
+  const { record } = lookup;
+  // An entry that asks for the attempt of another workspace has mixed up its
+  // requests; replying would disclose the data of one workspace to another.
   if (record.offer !== undefined && record.offer.workspace !== request.workspace) {
     const body = agentMessages.buildRunFailed(record.ref, schema.ResultCode.KEY_UNDECIDED);
     return [
@@ -207,10 +207,10 @@
       agentMessages.sendToEntry(linkId, body),
     ];
   }
-  return answers.subscribe(record, linkId, request.nextSequence);
+  return responses.subscribe(record, linkId, request.nextSequence);
 }
 
-/** Handles a caller's leaving: a queued attempt is refused, a run may be cut. */
+/** Handles a caller's disconnect: refuses a queued attempt, cancels a run that may be retried. */
 export function cancel(
   state: agentState.AgentState,
   linkId: number,
@@ -226,10 +226,11 @@
   if (record.status === runRecord.RunStatus.QUEUED && record.subscribers.size === 0) {
     return refusals.refuseAttempt(state, record, schema.ResultCode.CANCELLED, now);
   }
-  const cuttable = record.status === runRecord.RunStatus.STARTED && record.subscribers.size === 0;
-  // A request that may run only once runs on: cut short, it could be neither
-  // repeated nor answered when its caller comes back.
-  if (!cuttable || record.offer?.repeatable !== true) {
+  const isCancellable =
+    record.status === runRecord.RunStatus.STARTED && record.subscribers.size === 0;
+  // A request that may run only once continues: once cancelled, it could be
+  // neither retried nor answered when its caller returns.
+  if (!isCancellable || record.offer?.repeatable !== true) {
     return [];
   }
   record.cancelled = true;
--- a/packages/core/src/agent/places.ts
+++ b/packages/core/src/agent/places.ts
@@ -1,52 +1,57 @@
-/** Places on the engine: how many are in use and whether one is free. */
+/**
+ * Slots of the engine: how many are in use and whether one is free.
+ *
+ * A place, as identifiers and messages call it, is such a slot: one request's
+ * share of the engine's concurrency.
+ */
 import * as agentState from './agent-state.js';
 import * as engineLimit from './engine-limit.js';
 import * as engineSpeed from './engine-speed.js';
 import * as startQueue from '../shared/start-queue.js';
 
-/** What an attempt or reservation asks of the engine. */
+/** What an attempt or a reservation needs of the engine. */
 export type PlaceDemand = {
   tierRank: number;
   estimatedTokens: number;
-  /** A suspect: nothing else may run beside it. */
+  /** Whether it is a suspect, beside which nothing else may run. */
   alone: boolean;
 };
 
-/** Counts places in use: running attempts and those held for requests on their way. */
+/** Counts the slots in use: running attempts, and slots held for requests. */
 export function countUsed(state: agentState.AgentState): number {
   return state.running.size + state.holds.size;
 }
 
-/** Counts tokens in use, in the same sense. */
+/** Counts the estimated tokens of the slots in use. */
 export function countUsedTokens(state: agentState.AgentState): number {
   return state.runningTokens + state.heldTokens;
 }
 
-/** Accounts for the time that the engine has worked with more work queued. */
-export function noteTime(state: agentState.AgentState, now: number): void {
+/** Adds the time since the last call to the measurement if the engine ran with work queued. */
+export function recordTime(state: agentState.AgentState, now: number): void {
   const queued = startQueue.countQueued(state.queue) > 0;
-  engineSpeed.noteTime(state.speed, queued && state.running.size > 0, now);
+  engineSpeed.recordTime(state.speed, queued && state.running.size > 0, now);
 }
 
-/** Gets the requests that the engine is given at once at present. */
+/** Returns how many requests the engine is given concurrently at present. */
 export function getEnginePlaces(state: agentState.AgentState): number {
   return engineLimit.getPlaces(state.limit, agentState.getLimits(state));
 }
 
-/** Gets the engine's measured speed, tokens per second; 0 while unknown. */
+/** Returns the engine's throughput, tokens per second; 0 while unknown. */
 export function getTokensPerSecond(state: agentState.AgentState): number {
   return engineSpeed.getTokensPerSecond(state.speed, getEnginePlaces(state));
 }
 
-/** Keeps part of a limit free for the most urgent tier. */
-function keepHeadroom(limit: number, tierRank: number, headroomPercent: number): number {
+/** Subtracts the headroom of the most urgent tier from a limit of the other tiers. */
+function reserveHeadroom(limit: number, tierRank: number, headroomPercent: number): number {
   return tierRank === 0 ? limit : limit - Math.floor((limit * headroomPercent) / 100);
 }
 
-/** Tells whether the engine has a place for one more, and notes what holds it back. */
-export function hasRoom(state: agentState.AgentState, demand: PlaceDemand): boolean {
+/** Whether the engine has a free slot for a demand; records the limit that holds it back. */
+export function hasCapacity(state: agentState.AgentState, demand: PlaceDemand): boolean {
   const limits = agentState.getLimits(state);
-  if (!state.engineAvailable || state.soloRefKey !== '') {
+  if (!state.engineAvailable || state.exclusiveRefKey !== '') {
     return false;
   }
   const used = countUsed(state);
@@ -58,11 +63,11 @@
   }
   const percent = limits.urgentHeadroomPercent;
   const { limit } = state;
-  const places = keepHeadroom(engineLimit.getPlaces(limit, limits), demand.tierRank, percent);
-  const tokens = keepHeadroom(engineLimit.getTokens(limit, limits), demand.tierRank, percent);
-  const heldByPlaces = used >= places;
-  const heldByTokens = countUsedTokens(state) + demand.estimatedTokens > tokens;
-  limit.heldByPlaces = limit.heldByPlaces || heldByPlaces;
-  limit.heldByTokens = limit.heldByTokens || heldByTokens;
-  return !heldByPlaces && !heldByTokens;
+  const places = reserveHeadroom(engineLimit.getPlaces(limit, limits), demand.tierRank, percent);
+  const tokens = reserveHeadroom(engineLimit.getTokens(limit, limits), demand.tierRank, percent);
+  const limitedByPlaces = used >= places;
+  const limitedByTokens = countUsedTokens(state) + demand.estimatedTokens > tokens;
+  limit.limitedByPlaces = limit.limitedByPlaces || limitedByPlaces;
+  limit.limitedByTokens = limit.limitedByTokens || limitedByTokens;
+  return !limitedByPlaces && !limitedByTokens;
 }
--- a/packages/core/src/agent/refusals.ts
+++ b/packages/core/src/agent/refusals.ts
@@ -1,21 +1,21 @@
-/** Confirms that attempts and reservations were not run. */
+/** Refuses attempts and reservations, and confirms to entries that they were not run. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as suspects from '../shared/suspects.js';
 import * as agentEvent from './agent-event.js';
 import * as agentMessages from './agent-messages.js';
 import * as agentState from './agent-state.js';
-import * as answers from './answers.js';
+import * as responses from './responses.js';
 import * as holds from './holds.js';
-import * as reachability from './reachability.js';
+import * as deadlineFeasibility from './deadline-feasibility.js';
 import * as reservation from './reservation.js';
-import * as runMemory from './run-memory.js';
+import * as runRetention from './run-retention.js';
 import * as runRecord from './run-record.js';
 import * as startQueue from '../shared/start-queue.js';
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Ends an attempt as not run and leaves its record as a tombstone. */
+/** Ends an attempt as not run and keeps its record as a tombstone. */
 export function refuseAttempt(
   state: agentState.AgentState,
   record: runRecord.RunRecord,
@@ -27,11 +27,11 @@
   record.code = code;
   record.changedMs = now;
   runRecord.dropPayload(record);
-  runMemory.noteEnded(state.memory, record.refKey, now);
-  const retryAfterMs = reachability.estimateRetryMs(state, code);
+  runRetention.recordEnded(state.retention, record.refKey, now);
+  const retryAfterMs = deadlineFeasibility.estimateRetryMs(state, code);
   const result = schema.ResultCode[code];
   const body = agentMessages.buildNotRun(record.ref, code, retryAfterMs);
-  const effects = answers.publish(record, body);
+  const effects = responses.publish(record, body);
   record.subscribers.clear();
   return [
     effect.logDecision('refuse', { request: record.refKey, result, retryAfterMs }),
@@ -39,14 +39,14 @@
   ];
 }
 
-/** Tells an entry that its reservation is refused. */
+/** Sends an entry the refusal of its reservation. */
 export function sendReserveRefused(
   state: agentState.AgentState,
   linkId: number,
   requestId: string,
   code: schema.ResultCode,
 ): Effects {
-  const retryAfterMs = reachability.estimateRetryMs(state, code);
+  const retryAfterMs = deadlineFeasibility.estimateRetryMs(state, code);
   const result = schema.ResultCode[code];
   const body = agentMessages.buildReserveRefused(requestId, code, retryAfterMs);
   return [
@@ -55,7 +55,7 @@
   ];
 }
 
-/** Takes a reservation out of the queue and tells its entry. */
+/** Removes a reservation from the queue and sends its entry the refusal. */
 export function refuseReservation(
   state: agentState.AgentState,
   requestId: string,
@@ -70,7 +70,7 @@
   return sendReserveRefused(state, queued.linkId, requestId, code);
 }
 
-/** Frees a held place and tells its entry. */
+/** Frees a held slot and sends its entry the refusal. */
 export function refuseHold(
   state: agentState.AgentState,
   hold: reservation.Hold,
@@ -80,7 +80,7 @@
   return sendReserveRefused(state, hold.linkId, hold.requestId, code);
 }
 
-/** Refuses whatever is queued under an item. */
+/** Refuses the attempt or the reservation of a queued item. */
 export function refuseItem(
   state: agentState.AgentState,
   item: startQueue.QueuedItem,
@@ -94,7 +94,7 @@
   return record === undefined ? [] : refuseAttempt(state, record, code, now);
 }
 
-/** Tells whether an item is an attempt whose content is refused. */
+/** Whether an item is an attempt with blocked content. */
 function isBlocked(state: agentState.AgentState, item: startQueue.QueuedItem): boolean {
   const digest = state.runs.get(item.id)?.offer?.contentDigest ?? '';
   const isAttempt = item.kind === startQueue.QueuedKind.ATTEMPT;
@@ -109,7 +109,7 @@
     .flatMap((item) => refuseItem(state, item, schema.ResultCode.CONTENT_REFUSED, now));
 }
 
-/** Refuses everything queued and gives up every place that is held. */
+/** Refuses everything that is queued and frees every held slot. */
 export function refuseAll(
   state: agentState.AgentState,
   code: schema.ResultCode,
--- a/packages/core/src/agent/reservation.ts
+++ b/packages/core/src/agent/reservation.ts
@@ -1,25 +1,25 @@
-/** Places asked for without the request itself, and places held for one. */
+/** Reservations, which ask for a slot without the request itself, and the slots held for them. */
 import * as schema from '@toucanproxy/schema';
 
-/** A queued demand for a place. */
+/** A queued request for a slot. */
 export type Reservation = {
   linkId: number;
   reserve: schema.Reserve;
   queuedMs: number;
 };
 
-/** A place that is kept free until its request is offered. */
+/** A slot that is kept free until its request is offered. */
 export type Hold = {
   requestId: string;
   linkId: number;
   tierRank: number;
   estimatedTokens: number;
-  /** The place is given up at this time, milliseconds since the Unix epoch. */
+  /** When the hold expires, milliseconds since the Unix epoch. */
   untilMs: number;
 };
 
 /**
- * How long a granted place is held, milliseconds: a few round trips between
- * failure domains. An entry that takes longer loses the place, not the request.
+ * How long a granted slot is held, milliseconds: a few round trips between
+ * failure domains. An entry that takes longer loses the slot, not the request.
  */
 export const HOLD_MS = 200;
--- a/packages/core/src/agent/reservations.ts
+++ b/packages/core/src/agent/reservations.ts
@@ -1,8 +1,9 @@
 /**
- * Late binding: queues reservations and gives up those no longer needed.
+ * Late binding of requests to backend servers: queues reservations and releases
+ * those that are no longer needed.
  *
  * Nothing here starts a request. A reservation, grant or release that is lost,
- * late or doubled costs one place for `HOLD_MS` at most.
+ * delayed or duplicated costs one slot for at most `HOLD_MS`.
  */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
@@ -17,7 +18,7 @@
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Queues a reservation, or refuses it where an offer would be refused. */
+/** Queues a reservation, or refuses it under the same conditions as an offer. */
 function enqueueReservation(
   state: agentState.AgentState,
   linkId: number,
@@ -43,7 +44,7 @@
   return [...admitted.effects, ...runs.startQueued(state, now)];
 }
 
-/** Decides on a reservation; a copy renews the link that the grant goes to. */
+/** Handles a reservation. A duplicate only updates the link to which the grant is sent. */
 export function acceptReserve(
   state: agentState.AgentState,
   linkId: number,
@@ -63,25 +64,25 @@
   return enqueueReservation(state, linkId, reserve, now);
 }
 
-/** Takes a reservation out of the queue. */
+/** Removes a reservation from the queue. */
 export function dropQueued(state: agentState.AgentState, requestId: string): void {
   state.reservations.delete(requestId);
   startQueue.removeItem(state.queue, startQueue.QueuedKind.RESERVATION, requestId);
 }
 
-/** Gives up what an entry no longer needs. */
+/** Releases the reservation or the held slot of a request that no longer needs it. */
 export function release(state: agentState.AgentState, requestId: string, now: number): Effects {
   const queued = startQueue.findItem(state.queue, startQueue.QueuedKind.RESERVATION, requestId);
   if (queued !== undefined) {
-    engineSpeed.noteDrained(state.speed, queued.estimatedTokens);
+    engineSpeed.recordDequeued(state.speed, queued.estimatedTokens);
   }
   dropQueued(state, requestId);
   holds.dropHold(state, requestId);
   return runs.startQueued(state, now);
 }
 
-/** Gives up the reservations and places of an entry whose link has gone. */
-export function dropLink(state: agentState.AgentState, linkId: number, now: number): Effects {
+/** Releases the reservations and held slots of an entry whose link has closed. */
+export function releaseLink(state: agentState.AgentState, linkId: number, now: number): Effects {
   [...state.reservations.values()]
     .filter((one) => one.linkId === linkId)
     .forEach((one) => dropQueued(state, one.reserve.requestId));
--- a/packages/core/src/agent/answers.ts
+++ b/packages/core/src/agent/responses.ts
@@ -1,14 +1,14 @@
-/** Keeps the parts of answers and sends them to the links that want them. */
+/** Stores the parts of responses and sends them to the links that subscribe to them. */
 import * as schema from '@toucanproxy/schema';
 import * as agentEvent from './agent-event.js';
 import * as agentMessages from './agent-messages.js';
 import * as agentState from './agent-state.js';
-import * as runMemory from './run-memory.js';
+import * as runRetention from './run-retention.js';
 import * as runRecord from './run-record.js';
 
 type Effects = agentEvent.AgentEffect[];
 
-/** Sends one message to each link that wants this attempt's answer. */
+/** Sends one message to each link that subscribes to an attempt. */
 export function publish(
   record: runRecord.RunRecord,
   body: schema.AgentMessage['body'],
@@ -16,14 +16,14 @@
   return [...record.subscribers].map((linkId) => agentMessages.sendToEntry(linkId, body));
 }
 
-/** Adds a part to an answer and sends it on. */
+/** Appends a part to a response and sends it to the subscribers. */
 export function addPart(record: runRecord.RunRecord, content: runRecord.PartContent): Effects {
   const sequence = record.parts.length;
   record.parts.push(content);
   return publish(record, agentMessages.buildPart(record.ref, sequence, content));
 }
 
-/** Builds the message that says what became of an attempt so far, without its parts. */
+/** Builds the message that reports an attempt's status; undefined where its parts tell it. */
 function describeStatus(record: runRecord.RunRecord): schema.AgentMessage['body'] | undefined {
   switch (record.status) {
     case runRecord.RunStatus.QUEUED:
@@ -33,7 +33,7 @@
     case runRecord.RunStatus.NOT_RUN:
       return agentMessages.buildNotRun(record.ref, record.code, 0);
     case runRecord.RunStatus.COMPLETED:
-      return record.answerDropped
+      return record.responseDropped
         ? agentMessages.buildRunFailed(record.ref, schema.ResultCode.ANSWER_BROKEN)
         : undefined;
     case runRecord.RunStatus.FAILED:
@@ -43,7 +43,7 @@
   }
 }
 
-/** Sends a link what it misses of an attempt and subscribes it to the rest. */
+/** Sends a link the parts from `nextSequence` on and the status, and subscribes it to the rest. */
 export function subscribe(
   record: runRecord.RunRecord,
   linkId: number,
@@ -65,27 +65,27 @@
   return [...missing, ...statusEffects];
 }
 
-/** Drops the bytes of ended answers that no longer fit. */
-function trimAnswers(state: agentState.AgentState): void {
-  runMemory
-    .takeExcessAnswers(state.memory, runMemory.MAX_ANSWER_BYTES)
+/** Drops complete responses until the others fit into the memory limit. */
+function trimResponses(state: agentState.AgentState): void {
+  runRetention
+    .takeExcessResponses(state.retention, runRetention.MAX_RESPONSE_BYTES)
     .flatMap((refKey) => state.runs.get(refKey) ?? [])
     .forEach((record) => {
       record.parts = [];
-      record.answerDropped = true;
+      record.responseDropped = true;
     });
 }
 
-/** Keeps the answer of an attempt that has ended until it is acknowledged. */
-export function keepAnswer(state: agentState.AgentState, record: runRecord.RunRecord): void {
-  runMemory.keepAnswer(state.memory, record);
-  trimAnswers(state);
+/** Keeps a completed response, so that it can be resumed, within the memory limit. */
+export function keepResponse(state: agentState.AgentState, record: runRecord.RunRecord): void {
+  runRetention.keepResponse(state.retention, record);
+  trimResponses(state);
 }
 
 /**
- * Notes the answer that an entry has received whole.
+ * Records that an entry has received a complete response.
  *
- * The record itself stays: without it a late copy of the offer would start a
+ * The attempt's record stays: without it a late copy of the offer would start a
  * second run. Records expire only when such a copy would be refused as stale.
  */
 export function acknowledge(state: agentState.AgentState, refKey: string, next: number): void {
@@ -94,6 +94,6 @@
     return;
   }
   if (next >= record.parts.length) {
-    runMemory.noteAcknowledged(state.memory, refKey);
+    runRetention.recordAcknowledged(state.retention, refKey);
   }
 }
--- a/packages/core/src/agent/run-record.ts
+++ b/packages/core/src/agent/run-record.ts
@@ -1,50 +1,52 @@
 /**
- * One attempt as its agent remembers it, from the offer until the record
- * expires. The record is what makes the agent the only gate to its engine.
+ * The agent's record of one attempt, from the offer until the record expires.
+ *
+ * All requests reach the engine through its agent, and the record keeps each
+ * attempt from being started twice.
  */
 import * as schema from '@toucanproxy/schema';
 
 export enum RunStatus {
   QUEUED = 'queued',
-  /** Handed to the engine; irrevocable. */
+  /** Handed to the engine; the attempt can no longer be withdrawn. */
   STARTED = 'started',
   COMPLETED = 'completed',
-  /** Started and ended without a whole answer. */
+  /** Started and ended without a complete response. */
   FAILED = 'failed',
   /** Tombstone: confirmed not run; a late copy of the offer is refused. */
   NOT_RUN = 'not_run',
 }
 
-/** Content of one answer part; the sequence number is its index. */
+/** Content of one part of a response; its index is the sequence number. */
 export type PartContent = schema.AnswerPart['content'];
 
 export type RunRecord = {
   refKey: string;
   ref: schema.AttemptRef;
-  /** Undefined in a tombstone made for an offer that never came. */
+  /** Undefined in a tombstone that was created before its offer arrived. */
   offer: schema.Offer | undefined;
   status: RunStatus;
   /** Why the run failed or was not run. */
   code: schema.ResultCode;
   parts: PartContent[];
-  /** Links that want the answer. */
+  /** Links that receive the response. */
   subscribers: Set<number>;
-  /** When the record last changed its status, milliseconds. */
+  /** When the status last changed, milliseconds since the Unix epoch. */
   changedMs: number;
-  /** Set once the bytes of an ended answer have been dropped. */
-  answerDropped: boolean;
-  /** Set once the attempt has been cut short at its entry's request. */
+  /** Set once the parts of a completed response have been dropped. */
+  responseDropped: boolean;
+  /** Set once the attempt has been cancelled at the request of its entry. */
   cancelled: boolean;
-  /** Set once a crash of the engine has been put down to this attempt. */
+  /** Set once a crash of the engine during this attempt has been recorded. */
   crashed: boolean;
   /** Estimated tokens of the prompt. */
   promptTokens: number;
 };
 
-/** Bytes of a request that make one token of a prompt, about. */
+/** Approximate number of request bytes per prompt token. */
 const BYTES_PER_TOKEN = 4;
 
-/** Makes a record for an offer, or a tombstone where the offer never came. */
+/** Creates a record for an offer, or a tombstone where the offer has not arrived. */
 export function makeRunRecord(
   refKey: string,
   ref: schema.AttemptRef,
@@ -60,27 +62,27 @@
     parts: [],
     subscribers: new Set(),
     changedMs: now,
-    answerDropped: false,
+    responseDropped: false,
     cancelled: false,
     crashed: false,
     promptTokens: Math.ceil((offer?.payload.length ?? 0) / BYTES_PER_TOKEN),
   };
 }
 
-/** Drops the request's bytes, which are of no use once it has been handed over. */
+/** Drops the request's payload, which is not needed once it has been started or refused. */
 export function dropPayload(record: RunRecord): void {
   if (record.offer !== undefined) {
     record.offer = { ...record.offer, payload: new Uint8Array() };
   }
 }
 
-/** Gets the HTTP status that the engine answered with; 0 while there is none. */
-export function getStatus(record: RunRecord): number {
+/** Returns the HTTP status of the engine's response; 0 while there is none. */
+export function getHttpStatus(record: RunRecord): number {
   const [head] = record.parts;
   return head?.case === 'head' ? head.value.status : 0;
 }
 
-/** Tells whether an attempt has ended in whatever way. */
+/** Whether an attempt has ended, in any way. */
 export function isEnded(record: RunRecord): boolean {
   return record.status !== RunStatus.QUEUED && record.status !== RunStatus.STARTED;
 }
