--- a/packages/agent/src/app.ts
+++ b/packages/agent/src/app.ts
@@ -1,4 +1,4 @@
-/** The agent daemon: joins the core to its tasks. */
+/** The agent daemon: connects the agent's core to the tasks that do its I/O. */
 import * as crypto from 'node:crypto';
 import type * as bunyan from 'bunyan';
 import * as core from '@toucanproxy/core';
@@ -12,15 +12,15 @@
 export type AgentDaemon = {
   linkPort: number;
   operatorPort: number;
-  /** Refuses new work, lets what runs end, then stops. */
+  /** Graceful shutdown: refuses new work, waits for running attempts, then stops. */
   shutDown: () => void;
   stop: () => void;
 };
 
 type AgentTask = runtime.CoreTask<core.AgentEvent, core.AgentEffect>;
 
-/** The tasks that carry out the core's effects. */
-type Parts = {
+/** The state and the tasks that the executors of effects use. */
+type DaemonParts = {
   state: core.AgentState;
   logger: bunyan;
   metrics: runtime.Metrics;
@@ -37,8 +37,8 @@
 const DEFAULT_WATCH_WAIT_MS = 30_000;
 const DEFAULT_HOST = '127.0.0.1';
 
-/** Names the task that carries out each effect. */
-function buildExecutors(parts: Parts): Executors {
+/** Maps each kind of effect to the function that carries it out. */
+function buildExecutors(parts: DaemonParts): Executors {
   const { state, logger, metrics, links, engine } = parts;
   return {
     sendToEntry: (effect) => links.send(effect.linkId, effect.message),
@@ -58,7 +58,7 @@
   };
 }
 
-/** Starts to listen for entries. */
+/** Starts the server for links from entries. */
 function startLinks(settings: schema.AgentSettings, task: AgentTask): Promise<runtime.LinkServer> {
   return runtime.startLinkServer({
     host: settings.links?.host ?? DEFAULT_HOST,
@@ -69,14 +69,14 @@
   });
 }
 
-/** Creates the state of a new life of this agent. */
+/** Creates the state of a new process incarnation of this agent. */
 function createState(settings: schema.AgentSettings): core.AgentState {
   const { backendServerId, service, firstTrafficMs } = settings;
   const life = crypto.randomUUID();
   return core.createAgentState({ backendServerId, service, life, firstTrafficMs }, Date.now());
 }
 
-/** Starts to read whether the platform lists this VM as leaving. */
+/** Starts to poll whether the platform lists this VM as leaving. */
 function startVmList(
   settings: schema.AgentSettings,
   linkPort: number,
@@ -96,7 +96,7 @@
   });
 }
 
-/** Starts an agent. `stopped` is called once after a graceful shutdown. */
+/** Starts an agent. `stopped` is called once, after a graceful shutdown. */
 export async function startAgent(
   settings: schema.AgentSettings,
   stopped: () => void,
@@ -116,7 +116,7 @@
     engineUrl,
     report: (available) => task.post({ kind: 'engineAvailable', available }),
   });
-  const noticeFault = probe.probeNow;
+  const noticeFault = probe.probeSoon;
   const isModelEngine = () =>
     state.documents.get(service)?.document.kind === schema.ServiceKind.MODEL;
   const engine = engineClient.createEngineClient({
--- a/packages/agent/src/engine-client.ts
+++ b/packages/agent/src/engine-client.ts
@@ -1,8 +1,8 @@
 /**
- * The task that runs attempts on the engine and reports what it answers.
+ * The task that runs attempts on the engine and reports its responses.
  *
- * Each run has a connection of its own: on one kept alive, a request may meet
- * the engine's closing of it, which looks like a crash.
+ * Each run has its own connection: on a keep-alive connection, a request may be
+ * sent just as the engine closes it, which looks like a crash.
  */
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
@@ -18,28 +18,29 @@
   engineUrl: string;
   /**
    * Whether this is a model engine, whose streams can be resumed and cancelled.
-   * On a plain service the same paths may mean anything.
+   * On a plain service the same paths may have any other meaning.
    */
   isModelEngine: () => boolean;
   post: (event: core.AgentEvent) => void;
-  /** Called when an attempt met a fault, before it is reported. */
+  /** Called when an attempt ends with a fault, before the fault is reported. */
   noticeFault: () => void;
 };
 
-/** One attempt on its way through the engine. */
+/** One attempt that runs on the engine. */
 type Run = {
   refKey: string;
   controller: AbortController;
   headSent: boolean;
-  /** Bytes of the answer received so far. */
-  received: number;
+  /** Response bytes received so far. */
+  receivedBytes: number;
 };
 
 const STREAMS_PATH = '/v1/streams/';
 
-/** Connections that may break in one run before it is given up. */
+/** Maximum number of resumptions of one run before it fails. */
 const MAX_RESUMPTIONS = 5;
 
+/** Error codes of a connection that broke during a response. */
 const BROKEN_CODES = [
   'ECONNRESET',
   'EPIPE',
@@ -47,31 +48,31 @@
   'UND_ERR_RES_CONTENT_LENGTH_MISMATCH',
 ];
 
-/** What the HTTP library throws where a connection ends in the middle of an answer. */
+/** Name of the error that the HTTP library throws for a connection that ends during a response. */
 const PARSER_ERROR = 'HTTPParserError';
 
-/** Gets the code of an error of the HTTP library. */
+/** Returns the code of an error of the HTTP library. */
 function getCode(error: unknown): string {
   return (error as { code?: string }).code ?? '';
 }
 
-/** Says what an error means for an attempt that cannot be resumed. */
+/** Returns the fault of an attempt that cannot be resumed. */
 function toFault(broken: boolean): core.EngineFault {
   return broken ? core.EngineFault.CRASHED : core.EngineFault.FAILED;
 }
 
-/** Tells whether a connection that had been made broke before the answer's end. */
+/** Whether an established connection broke before the end of the response. */
 function isBroken(error: unknown): boolean {
   return BROKEN_CODES.includes(getCode(error)) || (error as Error).name === PARSER_ERROR;
 }
 
-/** Builds the address of a run's stream. */
+/** Builds the URL under which the engine serves the stream of a run. */
 function buildStreamUrl(engineUrl: string, refKey: string): URL {
   return new URL(`${STREAMS_PATH}${encodeURIComponent(refKey)}`, engineUrl);
 }
 
-/** Reports an answer as it comes. */
-async function passAnswer(
+/** Reports a response while it arrives. */
+async function forwardResponse(
   options: EngineClientOptions,
   run: Run,
   response: undici.Dispatcher.ResponseData,
@@ -83,31 +84,31 @@
     options.post({ kind: 'engineHead', refKey, status: response.statusCode, contentType });
   }
   for await (const data of response.body) {
-    run.received += (data as Buffer).length;
+    run.receivedBytes += (data as Buffer).length;
     options.post({ kind: 'engineData', refKey, data });
   }
   options.post({ kind: 'engineEnd', refKey });
 }
 
 /**
- * Goes on with a run whose connection broke, where the engine still has it.
+ * Resumes a run whose connection broke, if the engine still has it.
  *
- * Sending the request again instead would run it twice. An engine that does not
- * know the run has crashed in between, or cannot resume: either way the run is
- * lost, and is reported as run.
+ * Sending the request again would run it twice. An engine that does not know the
+ * run has crashed in the meantime or cannot resume: in both cases the response
+ * is lost, and the attempt fails as run.
  */
 async function resumeRun(options: EngineClientOptions, run: Run): Promise<void> {
   const url = buildStreamUrl(options.engineUrl, run.refKey);
-  url.searchParams.set('from', String(run.received));
+  url.searchParams.set('from', String(run.receivedBytes));
   const response = await undici.request(url, { signal: run.controller.signal, reset: true });
   if (response.statusCode !== 200) {
     await response.body.dump();
     throw new Error('the engine does not know the run');
   }
-  await passAnswer(options, run, response);
+  await forwardResponse(options, run, response);
 }
 
-/** Resumes a broken run until it ends; the fault that ended it otherwise. */
+/** Resumes a broken run until it completes; returns the fault where it does not. */
 async function resumeUntilEnd(
   options: EngineClientOptions,
   run: Run,
@@ -140,7 +141,7 @@
       signal: run.controller.signal,
       reset: true,
     });
-    await passAnswer(options, run, response);
+    await forwardResponse(options, run, response);
   };
   const execute = async (run: Run, offer: schema.Offer): Promise<core.EngineFault | undefined> => {
     try {
@@ -157,7 +158,7 @@
 
   return {
     start: (refKey, offer) => {
-      const run = { refKey, controller: new AbortController(), headSent: false, received: 0 };
+      const run = { refKey, controller: new AbortController(), headSent: false, receivedBytes: 0 };
       runs.set(refKey, run);
       execute(run, offer).then((fault) => {
         runs.delete(refKey);
@@ -172,7 +173,7 @@
       if (!options.isModelEngine()) {
         return;
       }
-      // An engine that lets streams be resumed runs on without a connection.
+      // A resumable run continues without a connection, so it is cancelled explicitly.
       undici
         .request(buildStreamUrl(engineUrl, refKey), { method: 'DELETE', reset: true })
         .then((response) => response.body.dump())
--- a/packages/agent/src/engine-probe.ts
+++ b/packages/agent/src/engine-probe.ts
@@ -1,9 +1,9 @@
-/** The task that finds out whether the engine takes connections. */
+/** The task that probes whether the engine is available. */
 import * as undici from 'undici';
 
 export type EngineProbe = {
-  /** Probes at once, after an attempt has met a fault. */
-  probeNow: () => void;
+  /** Probes soon, and then at short intervals, after an attempt has ended with a fault. */
+  probeSoon: () => void;
   stop: () => void;
 };
 
@@ -13,62 +13,63 @@
 };
 
 const PROBE_PATH = '/health';
-const MIN_PAUSE_MS = 50;
-const MAX_PAUSE_MS = 1000;
-const ANSWER_MS = 2000;
+const MIN_INTERVAL_MS = 50;
+const MAX_INTERVAL_MS = 1000;
+const PROBE_TIMEOUT_MS = 2000;
 
-/** An engine that is loading its model says so by this status. */
+/** Status with which an engine responds while it is loading its model. */
 const NOT_READY_STATUS = 503;
 
-/** Probes without an answer in time after which an engine counts as hung. */
-const MAX_SILENT_PROBES = 3;
+/** Number of consecutive probes without a response in time after which an engine counts as down. */
+const MAX_TIMED_OUT_PROBES = 3;
 
-enum Finding {
+enum ProbeResult {
   UP = 'up',
   DOWN = 'down',
-  SILENT = 'silent',
+  TIMED_OUT = 'timed-out',
 }
 
-/** Probes once. A service without the path is up too: it answers. */
-async function testEngine(engineUrl: string): Promise<Finding> {
+/** Probes once. A service without the health path is up too, as it responds. */
+async function checkEngine(engineUrl: string): Promise<ProbeResult> {
   try {
-    const signal = AbortSignal.timeout(ANSWER_MS);
+    const signal = AbortSignal.timeout(PROBE_TIMEOUT_MS);
     const response = await undici.request(new URL(PROBE_PATH, engineUrl), { signal, reset: true });
     await response.body.dump();
-    return response.statusCode === NOT_READY_STATUS ? Finding.DOWN : Finding.UP;
+    return response.statusCode === NOT_READY_STATUS ? ProbeResult.DOWN : ProbeResult.UP;
   } catch (error) {
-    return (error as Error).name === 'TimeoutError' ? Finding.SILENT : Finding.DOWN;
+    return (error as Error).name === 'TimeoutError' ? ProbeResult.TIMED_OUT : ProbeResult.DOWN;
   }
 }
 
-/** Starts probing; pauses grow from short to long after each fault. */
+/** Starts to probe; after each fault the interval grows from its minimum to its maximum. */
 export function startEngineProbe(options: EngineProbeOptions): EngineProbe {
   let timer: NodeJS.Timeout | undefined;
-  let pauseMs = MAX_PAUSE_MS;
-  let silentProbes = 0;
+  let intervalMs = MAX_INTERVAL_MS;
+  let timedOutProbes = 0;
   let stopped = false;
 
   const schedule = (waitMs: number) => {
     clearTimeout(timer);
     timer = setTimeout(async () => {
-      const finding = await testEngine(options.engineUrl);
-      silentProbes = finding === Finding.SILENT ? silentProbes + 1 : 0;
-      const undecided = finding === Finding.SILENT && silentProbes < MAX_SILENT_PROBES;
+      const result = await checkEngine(options.engineUrl);
+      timedOutProbes = result === ProbeResult.TIMED_OUT ? timedOutProbes + 1 : 0;
+      const isInconclusive =
+        result === ProbeResult.TIMED_OUT && timedOutProbes < MAX_TIMED_OUT_PROBES;
       if (stopped) {
         return;
       }
-      if (!undecided) {
-        options.report(finding === Finding.UP);
+      if (!isInconclusive) {
+        options.report(result === ProbeResult.UP);
       }
-      pauseMs = Math.min(2 * pauseMs, MAX_PAUSE_MS);
-      schedule(pauseMs);
+      intervalMs = Math.min(2 * intervalMs, MAX_INTERVAL_MS);
+      schedule(intervalMs);
     }, waitMs);
   };
   schedule(0);
   return {
-    probeNow: () => {
-      pauseMs = MIN_PAUSE_MS;
-      schedule(pauseMs);
+    probeSoon: () => {
+      intervalMs = MIN_INTERVAL_MS;
+      schedule(intervalMs);
     },
     stop: () => {
       stopped = true;
--- a/packages/agent/src/gauges.ts
+++ b/packages/agent/src/gauges.ts
@@ -1,4 +1,4 @@
-/** Present values of an agent for its metrics. */
+/** The gauges that an agent's metrics export. */
 import * as core from '@toucanproxy/core';
 import type * as runtime from '@toucanproxy/runtime';
 import * as status from './status.js';
--- a/packages/agent/src/status.ts
+++ b/packages/agent/src/status.ts
@@ -1,9 +1,9 @@
-/** What the operator port of an agent says of its state. */
+/** The status that an agent serves on its operator port. */
 import * as core from '@toucanproxy/core';
 
 export type TierCount = { tier: string; queued: number };
 
-/** Counts queued attempts and reservations for every tier, the most urgent first. */
+/** Counts queued attempts and reservations of each tier, the most urgent first. */
 export function countByTier(state: core.AgentState): TierCount[] {
   const tiers = state.documents.get(state.service)?.document.tiers ?? [];
   const items = [...state.queue.items.values()];
--- a/packages/core/src/agent/agent-event.ts
+++ b/packages/core/src/agent/agent-event.ts
@@ -5,7 +5,7 @@
 
 /** Why a run on the engine ended without a complete response. */
 export enum EngineFault {
-  /** The run ended with any other error, or was cancelled; the engine is still up. */
+  /** The run was cancelled or ended with an error that is none of the below; the engine is up. */
   FAILED = 'failed',
   /** The engine's connection broke while it ran the request, and the run could not be resumed. */
   CRASHED = 'crashed',
--- a/packages/core/src/agent/claims.ts
+++ b/packages/core/src/agent/claims.ts
@@ -157,7 +157,8 @@
 export function resolveClaim(home: HomeState, claim: schema.Claim, now: number): Decision {
   const { document } = home;
   const undecided = { outcome: schema.ClaimOutcome.UNDECIDED };
-  // An entry with a document older than the settled version may take other agents for a key's home.
+  // An entry whose document is older than the settled version may send a key's claims to
+  // another home than all others do.
   if (document === undefined || claim.documentVersion < document.settledVersion) {
     return undecided;
   }
--- a/packages/core/src/agent/crash-suspects.ts
+++ b/packages/core/src/agent/crash-suspects.ts
@@ -29,10 +29,10 @@
 /** Merges the suspects that an entry reports and refuses queued attempts that are now blocked. */
 export function mergeReceived(
   state: agentState.AgentState,
-  heard: readonly schema.Suspect[],
+  received: readonly schema.Suspect[],
   now: number,
 ): Effects {
-  const changed = suspects.mergeSuspects(state.suspects, heard, now);
+  const changed = suspects.mergeSuspects(state.suspects, received, now);
   return changed ? refusals.refuseBlocked(state, now) : [];
 }
 
--- a/packages/core/src/agent/engine-limit.ts
+++ b/packages/core/src/agent/engine-limit.ts
@@ -63,7 +63,7 @@
 /** The limit never falls below the document's limit divided by this. */
 const MIN_LIMIT_DIVISOR = 8;
 
-/** Creates a limit that starts at the one of the document. */
+/** Creates a limit that at first allows as much as the document does. */
 export function createEngineLimit(): EngineLimit {
   return {
     places: Number.POSITIVE_INFINITY,
--- a/packages/core/src/agent/engine-runs.ts
+++ b/packages/core/src/agent/engine-runs.ts
@@ -132,7 +132,10 @@
   }
 }
 
-/** Records a chunk of a streamed response; only these show when the engine begins to respond. */
+/**
+ * Records a chunk of a streamed response. Other responses arrive all at once at the end and do
+ * not show when the engine began to respond.
+ */
 function recordChunk(state: agentState.AgentState, record: runRecord.RunRecord, now: number): void {
   const [head] = record.parts;
   const streamed = head?.case === 'head' && head.value.contentType.startsWith(EVENT_STREAM);
--- a/packages/core/src/agent/handle-agent-event.ts
+++ b/packages/core/src/agent/handle-agent-event.ts
@@ -1,4 +1,4 @@
-/** The agent's event loop: applies one event to the state and returns the resulting effects. */
+/** Entry point of the agent's core: applies one event to the state and returns its effects. */
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as suspects from '../shared/suspects.js';
--- a/packages/core/src/agent/runs.ts
+++ b/packages/core/src/agent/runs.ts
@@ -42,7 +42,7 @@
     .find((earlier) => earlier.status !== runRecord.RunStatus.NOT_RUN && earlier !== record);
 }
 
-/** Counts a retry of a started request, and reports one of a request that may run only once. */
+/** Counts a request that is started again; a broken invariant where it may run only once. */
 function observeRetry(repeated: runRecord.RunRecord | undefined, offer: schema.Offer): Effects {
   if (repeated === undefined) {
     return [];
--- a/packages/stand-ins/src/engine-batch.ts
+++ b/packages/stand-ins/src/engine-batch.ts
@@ -1,4 +1,4 @@
-/** Continuous batching of the stand-in engine: admits as they come, step by step. */
+/** Continuous batching of the stand-in engine: runs enter the batch in the order of arrival. */
 import type * as http from 'node:http';
 
 export type Run = {
@@ -8,10 +8,10 @@
   prefillLeft: number;
   tokensLeft: number;
   words: string[];
-  /** Bytes of the answer so far, for connections that come later. */
+  /** The response so far, for connections that resume it. */
   output: string;
   ended: boolean;
-  /** The connection that gets the answer; undefined while there is none. */
+  /** The connection that receives the response; undefined while there is none. */
   response: http.ServerResponse | undefined;
 };
 
@@ -22,19 +22,19 @@
   prefillTokensPerStep: number;
 };
 
-/** Formats one streamed token. */
+/** Formats one streamed token as an event. */
 function formatChunk(word: string): string {
   return `data: ${JSON.stringify({ object: 'chat.completion.chunk', choices: [{ index: 0, delta: { content: word } }] })}\n\n`;
 }
 
-/** Adds bytes to an answer. */
+/** Appends text to a response and writes it to the connection. */
 function writeOutput(run: Run, text: string): void {
   run.output += text;
   run.response?.write(text);
 }
 
-/** Formats a whole answer. */
-function formatAnswer(run: Run): string {
+/** Formats a response that is not streamed. */
+function formatResponse(run: Run): string {
   const message = { role: 'assistant', content: run.words.join('') };
   return JSON.stringify({
     id: run.requestId,
@@ -43,14 +43,14 @@
   });
 }
 
-/** Ends a run whose every token is out. */
+/** Ends a run that has generated all its tokens. */
 function endRun(run: Run): void {
-  writeOutput(run, run.stream ? 'data: [DONE]\n\n' : formatAnswer(run));
+  writeOutput(run, run.stream ? 'data: [DONE]\n\n' : formatResponse(run));
   run.ended = true;
   run.response?.end();
 }
 
-/** Gives one run its part of a step. */
+/** Advances one run by a step: part of its prefill, or one token. */
 function advanceRun(batch: Batch, run: Run): void {
   if (run.prefillLeft > 0) {
     run.prefillLeft -= batch.prefillTokensPerStep;
@@ -67,7 +67,7 @@
   }
 }
 
-/** Does one step; returns the runs that ended in it. */
+/** Fills the batch and advances its runs by one step; returns the runs that ended in it. */
 export function advance(batch: Batch): Run[] {
   while (batch.running.length < batch.maxBatch && batch.waiting.length > 0) {
     batch.running.push(batch.waiting.shift() as Run);
@@ -78,7 +78,7 @@
   return ended;
 }
 
-/** Takes a run out of the batch; false where it had ended. */
+/** Removes a run from the batch and its queue; returns false where it had already ended. */
 export function removeRun(batch: Batch, run: Run): boolean {
   const before = batch.waiting.length + batch.running.length;
   batch.waiting = batch.waiting.filter((one) => one !== run);
--- a/packages/stand-ins/src/engine-cache.ts
+++ b/packages/stand-ins/src/engine-cache.ts
@@ -1,19 +1,19 @@
 /** The prefix cache of the stand-in engine: leading blocks of prompts, in bounded memory. */
 import * as crypto from 'node:crypto';
 
-/** Blocks by digest, the one used longest ago first. */
+/** Digests of cached blocks, the least recently used first. */
 export type PrefixCache = { blocks: Set<string>; maxBlocks: number };
 
 const BYTES_PER_TOKEN = 4;
 const BLOCK_TOKENS = 64;
 const BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN;
 
-/** Counts the tokens of a prompt. */
+/** Estimates the tokens of a prompt. */
 export function countTokens(text: string): number {
   return Math.ceil(text.length / BYTES_PER_TOKEN);
 }
 
-/** Lists the digests of a prompt's whole leading blocks; each covers all before it. */
+/** Lists the digests of a prompt's full blocks; each covers all text up to the end of its block. */
 function listBlocks(text: string): string[] {
   const hash = crypto.createHash('sha256');
   return Array.from({ length: Math.floor(text.length / BLOCK_BYTES) }, (_, index) => {
@@ -22,8 +22,8 @@
   });
 }
 
-/** Takes a prompt into the cache; the tokens that are left to be worked through. */
-export function takePrompt(cache: PrefixCache, text: string): number {
+/** Adds a prompt to the cache; returns how many of its tokens were not cached. */
+export function addPrompt(cache: PrefixCache, text: string): number {
   const blocks = listBlocks(text);
   const firstMissing = blocks.findIndex((block) => !cache.blocks.has(block));
   const cached = firstMissing === -1 ? blocks.length : firstMissing;
--- a/packages/stand-ins/src/engine.ts
+++ b/packages/stand-ins/src/engine.ts
@@ -1,7 +1,7 @@
 /**
  * A stand-in for a model engine: continuous batching, a prompt prefix cache in
- * limited memory, an OpenAI-style interface. It knows no tiers and admits
- * requests as they arrive. A journal file outlives its crashes.
+ * bounded memory and an OpenAI-style interface. It has no tiers and runs requests
+ * in the order of arrival. A journal file persists across its crashes.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -15,17 +15,17 @@
   port: number;
   /** Duration of one engine step, milliseconds. */
   stepMs: number;
-  /** Requests in one batch. */
+  /** Maximum number of requests in the batch. */
   maxBatch: number;
-  /** Prompt tokens worked through in one step. */
+  /** Prompt tokens of each request that one step processes. */
   prefillTokensPerStep: number;
-  /** Blocks of prompts that the prefix cache holds. */
+  /** Maximum number of prompt blocks in the prefix cache. */
   cacheBlocks: number;
-  /** Whether a broken stream can be resumed; else a closed connection cancels its run. */
+  /** Whether a broken stream can be resumed; otherwise a closed connection cancels its run. */
   resumable: boolean;
-  /** File that gets one JSON line for each start, end and cancel; empty for none. */
+  /** File to which one JSON line is appended per start, end and cancel; empty for none. */
   journalFile: string;
-  /** Called when a request holds the crash mark. */
+  /** Called when a request contains `CRASH_MARK`. */
   crash: () => void;
 };
 
@@ -41,32 +41,32 @@
   crash: () => process.exit(1),
 };
 
-/** Text in a prompt that makes the stand-in crash. */
+/** Text that makes the stand-in crash when a request contains it. */
 export const CRASH_MARK = 'CRASH-ENGINE';
 
 export type Engine = { port: number; setStepMs: (stepMs: number) => void; stop: () => void };
 
 const STREAMS_PATH = '/v1/streams/';
 
-const DEFAULT_ANSWER_TOKENS = 16;
+const DEFAULT_RESPONSE_TOKENS = 16;
 
-/** Answers that can still be resumed after their end. */
-const MAX_KEPT_RUNS = 256;
+/** Maximum number of runs that are kept to be resumed. */
+const MAX_RETAINED_RUNS = 256;
 
-/** How long a run goes on without a connection, milliseconds. */
-const DETACHED_MS = 5000;
+/** How long a resumable run continues without a connection, milliseconds. */
+const DETACHED_TIMEOUT_MS = 5000;
 
 type EngineState = {
   options: EngineOptions;
   batch: engineBatch.Batch;
   cache: engineCache.PrefixCache;
   /** Runs that can be resumed, by request id, the oldest first. */
-  kept: Map<string, engineBatch.Run>;
+  retained: Map<string, engineBatch.Run>;
   sockets: Set<net.Socket>;
   setStepMs: (stepMs: number) => void;
 };
 
-/** Adds one line to the journal. */
+/** Appends one line to the journal. */
 function writeJournal(state: EngineState, event: string, run: engineBatch.Run): void {
   if (state.options.journalFile !== '') {
     const { requestId, promptDigest } = run;
@@ -75,7 +75,7 @@
   }
 }
 
-/** Digests a prompt, so that a test can tell whose answer it got. */
+/** Hashes a prompt, so that a test can check to which request a response belongs. */
 export function hashPrompt(text: string): string {
   return crypto.createHash('sha256').update(text).digest('hex');
 }
@@ -84,13 +84,13 @@
 function cancelRun(state: EngineState, run: engineBatch.Run): void {
   if (engineBatch.removeRun(state.batch, run)) {
     writeJournal(state, 'cancel', run);
-    state.kept.delete(run.requestId);
+    state.retained.delete(run.requestId);
     run.response?.destroy();
   }
 }
 
-/** Sends a run's answer to a connection from one byte on. */
-function joinResponse(
+/** Sends a run's response to a connection, from a byte offset on. */
+function sendOutput(
   state: EngineState,
   run: engineBatch.Run,
   response: http.ServerResponse,
@@ -112,22 +112,22 @@
       return;
     }
     run.response = undefined;
-    const waitMs = state.options.resumable ? DETACHED_MS : 0;
+    const waitMs = state.options.resumable ? DETACHED_TIMEOUT_MS : 0;
     setTimeout(() => run.response === undefined && cancelRun(state, run), waitMs).unref();
   });
 }
 
-/** Keeps a run for connections that come later, in bounded memory. */
+/** Keeps a run, so that it can be resumed; drops the oldest beyond the maximum. */
 function keepRun(state: EngineState, run: engineBatch.Run): void {
-  state.kept.set(run.requestId, run);
-  const [oldest] = state.kept.keys();
-  if (state.kept.size > MAX_KEPT_RUNS) {
-    state.kept.delete(oldest);
+  state.retained.set(run.requestId, run);
+  const [oldest] = state.retained.keys();
+  if (state.retained.size > MAX_RETAINED_RUNS) {
+    state.retained.delete(oldest);
   }
 }
 
-/** Takes in one completion request. */
-function admitRun(
+/** Queues the run of one completion request. */
+function enqueueRun(
   state: EngineState,
   request: http.IncomingMessage,
   response: http.ServerResponse,
@@ -138,8 +138,8 @@
     requestId: String(request.headers['x-request-id'] ?? ''),
     stream: body.stream === true,
     promptDigest: hashPrompt(text),
-    prefillLeft: engineCache.takePrompt(state.cache, text),
-    tokensLeft: body.max_tokens ?? DEFAULT_ANSWER_TOKENS,
+    prefillLeft: engineCache.addPrompt(state.cache, text),
+    tokensLeft: body.max_tokens ?? DEFAULT_RESPONSE_TOKENS,
     words: [],
     output: '',
     ended: false,
@@ -151,7 +151,7 @@
     return;
   }
   keepRun(state, run);
-  joinResponse(state, run, response, 0);
+  sendOutput(state, run, response, 0);
   state.batch.waiting.push(run);
 }
 
@@ -163,18 +163,18 @@
   response: http.ServerResponse,
 ): void {
   const requestId = decodeURIComponent(url.pathname.slice(STREAMS_PATH.length));
-  const run = state.options.resumable ? state.kept.get(requestId) : undefined;
+  const run = state.options.resumable ? state.retained.get(requestId) : undefined;
   if (run === undefined) {
     response.writeHead(404).end();
   } else if (method === 'DELETE') {
     cancelRun(state, run);
     response.writeHead(204).end();
   } else {
-    joinResponse(state, run, response, Number(url.searchParams.get('from') ?? 0));
+    sendOutput(state, run, response, Number(url.searchParams.get('from') ?? 0));
   }
 }
 
-/** Reads a body as text. */
+/** Reads a request body as text. */
 export async function readText(request: http.IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) {
@@ -199,10 +199,10 @@
     state.setStepMs(Number(text));
     response.writeHead(204).end();
   } else if (url.pathname === '/test/break') {
-    // Breaks every connection while the engine lives on.
+    // Breaks every connection while the engine keeps running.
     state.sockets.forEach((socket) => socket.destroy());
   } else {
-    admitRun(state, request, response, text);
+    enqueueRun(state, request, response, text);
   }
 }
 
@@ -213,7 +213,7 @@
     options,
     batch: { waiting: [], running: [], maxBatch, prefillTokensPerStep },
     cache: { blocks: new Set(), maxBlocks: cacheBlocks },
-    kept: new Map(),
+    retained: new Map(),
     sockets: new Set(),
     setStepMs: () => {},
   };
--- a/packages/stand-ins/src/example-deployments.ts
+++ b/packages/stand-ins/src/example-deployments.ts
@@ -1,4 +1,4 @@
-/** The two worked examples: services, tiers, workspaces and tokens. */
+/** The two worked examples: their services, tiers, workspaces and tokens. */
 import * as crypto from 'node:crypto';
 
 export enum EngineKind {
@@ -9,14 +9,14 @@
 export type ExampleService = {
   name: string;
   engineKind: EngineKind;
-  /** Backend servers of the whole deployment. */
+  /** Number of backend servers in the full deployment. */
   runners: number;
-  /** The most urgent first. */
+  /** Tier names, the most urgent first. */
   tiers: string[];
   routes: { pathPrefix: string; repeat: string }[];
-  /** Workspace and tier of each token. */
+  /** Workspace and tier by token. */
   tokens: Record<string, [workspace: string, tier: string]>;
-  /** Requests to paste: what each shows, and the arguments of curl. */
+  /** Example requests: title, token and the arguments of curl. */
   calls: [title: string, token: string, args: string][];
 };
 
@@ -29,8 +29,8 @@
   { pathPrefix: '/v1/completions', repeat: ALLOWED },
 ];
 
-/** Builds the arguments of a chat completion. */
-function buildChat(model: string, content: string, extra: object = {}): string {
+/** Builds the curl arguments of a chat completion. */
+function buildChatArguments(model: string, content: string, extra: object = {}): string {
   const body = { model, messages: [{ role: 'user', content }], max_tokens: 12, ...extra };
   return `-H 'content-type: application/json' -d '${JSON.stringify(body)}' URL/v1/chat/completions`;
 }
@@ -51,11 +51,11 @@
           'triaje-drafts': ['citizen-replies', 'drafts'],
         },
         calls: [
-          ['a report', 'triaje-desk', buildChat('modelo-triaje', 'Rubble at the corner')],
+          ['a report', 'triaje-desk', buildChatArguments('modelo-triaje', 'Rubble at the corner')],
           [
             'a streamed draft',
             'triaje-drafts',
-            `-N ${buildChat('modelo-triaje', 'Thank you for your report', { stream: true })}`,
+            `-N ${buildChatArguments('modelo-triaje', 'Thank you for your report', { stream: true })}`,
           ],
         ],
       },
@@ -70,7 +70,11 @@
           'vecinal-statistics': ['city-statistics', 'statistics'],
         },
         calls: [
-          ['a question', 'vecinal-app', buildChat('app-vecinal', 'When does the truck come')],
+          [
+            'a question',
+            'vecinal-app',
+            buildChatArguments('app-vecinal', 'When does the truck come'),
+          ],
         ],
       },
     ],
@@ -90,11 +94,15 @@
           'brim-draft': ['lautoka-bands', 'draft'],
         },
         calls: [
-          ['a stall answer', 'brim-stall', buildChat('brimwit', 'Which trim for this straw')],
+          [
+            'a stall answer',
+            'brim-stall',
+            buildChatArguments('brimwit', 'Which trim for this straw'),
+          ],
           [
             'a streamed pattern draft',
             'brim-draft',
-            `-N ${buildChat('brimwit', 'A wide brim', { stream: true })}`,
+            `-N ${buildChatArguments('brimwit', 'A wide brim', { stream: true })}`,
           ],
         ],
       },
@@ -123,12 +131,12 @@
   },
 };
 
-/** All processes of the example read one clock. */
+/** Small, as all processes of an example read the same clock. */
 export const CLOCK_SKEW_MS = 50;
 
 export type ExampleServer = { id: string; address: string; failureDomain: string };
 
-/** Builds the service document of an example, as JSON data. */
+/** Builds the service document of an example. */
 export function buildExampleDocument(
   service: ExampleService,
   servers: ExampleServer[],
--- a/packages/stand-ins/src/example-processes.ts
+++ b/packages/stand-ins/src/example-processes.ts
@@ -1,4 +1,4 @@
-/** Starts the product's processes for the worked example. */
+/** Starts and stops the processes of the worked example. */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -16,9 +16,9 @@
 };
 
 /**
- * Starts one daemon; its settings and its log go to the folder.
+ * Starts one daemon and writes its settings and its log to the folder.
  *
- * @param documentCount documents that have to be in force before it counts as started
+ * @param documentCount number of documents that have to be active before it counts as started
  */
 export function startExampleProcess(
   folder: string,
@@ -32,12 +32,14 @@
   const log = fs.createWriteStream(path.join(folder, `${name}.log`));
   const child = childProcess.spawn(process.execPath, [CLI, role, '--settings', settingsFile], {
     stdio: ['ignore', 'pipe', 'inherit'],
-    // A group of its own: ctrl-C in a terminal goes to the launcher alone,
+    // A separate process group: Ctrl-C in a terminal signals only this launcher,
     // which then stops entries before agents.
     detached: true,
   });
   return new Promise((resolve, reject) => {
-    child.once('exit', (code) => reject(new Error(`${name} ended with ${code}`)));
+    child.once('exit', (code) =>
+      reject(new Error(`${name} exited with code ${code} before it had started`)),
+    );
     let started: Record<string, unknown> | undefined;
     let documents = 0;
     readline.createInterface({ input: child.stdout }).on('line', (text) => {
@@ -52,7 +54,7 @@
   });
 }
 
-/** Stops processes gracefully and waits until they have ended. */
+/** Stops processes gracefully and waits until they have exited. */
 export async function stopExampleProcesses(processes: ExampleProcess[]): Promise<void> {
   await Promise.all(
     processes
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for tests and examples; never imported by the product. */
+/** Stand-ins for tests and examples; production code never imports them. */
 export * from './engine.js';
 export * from './example-key.js';
 export * from './plain-service.js';
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process: `main.js KIND JSON-OPTIONS`. */
+/** Runs one stand-in as a process: `main.js KIND JSON-OPTIONS`. Prints a line with its port. */
 import * as engine from './engine.js';
 import * as plainService from './plain-service.js';
 import * as platform from './platform.js';
@@ -9,7 +9,7 @@
 >;
 type Start = (options: Options) => Promise<{ port: number }>;
 
-const STARTS: Record<string, Start> = {
+const STARTERS: Record<string, Start> = {
   engine: engine.startEngine,
   platform: (options) => platform.startPlatform(options.host, options.port),
   'plain-service': plainService.startPlainService,
@@ -17,5 +17,5 @@
 };
 
 const [, , kind, json = '{}'] = process.argv;
-const started = await STARTS[kind](JSON.parse(json) as Options);
+const started = await STARTERS[kind](JSON.parse(json) as Options);
 process.stdout.write(`${JSON.stringify({ event: 'started', port: started.port })}\n`);
--- a/packages/stand-ins/src/plain-service.ts
+++ b/packages/stand-ins/src/plain-service.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for a plain service: answers each call with what it got, and
- * keeps a journal of the calls that it ran.
+ * A stand-in for a plain service: echoes the body of each call, and keeps a
+ * journal of the calls that it ran.
  */
 import * as fs from 'node:fs';
 import * as http from 'node:http';
@@ -9,7 +9,7 @@
 export type PlainServiceOptions = {
   host: string;
   port: number;
-  /** File that gets one JSON line for each call; empty for none. */
+  /** File to which one JSON line is appended per call; empty for none. */
   journalFile: string;
 };
 
@@ -21,7 +21,7 @@
 
 export type PlainService = { port: number; stop: () => void };
 
-/** Reads a body as bytes. */
+/** Reads a request body as bytes. */
 async function readBytes(request: http.IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) {
@@ -30,7 +30,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Answers one call with its own body and content type. */
+/** Serves one call: echoes its body and content type, with status 404 under `/missing`. */
 async function serve(
   options: PlainServiceOptions,
   request: http.IncomingMessage,
--- a/packages/stand-ins/src/platform.ts
+++ b/packages/stand-ins/src/platform.ts
@@ -1,7 +1,8 @@
 /**
- * A stand-in for the platform: the configuration service, which can only be
- * read and watched, and the lagging list of VMs. What a test publishes it sets
- * through the returned functions or the `/test/` paths, never the product.
+ * A stand-in for the platform: the configuration service, whose documents can be
+ * read and watched, and the list of VMs, which a real platform updates late.
+ * Tests change both through the returned functions or the `/test/` paths, which
+ * production code does not use.
  */
 import * as http from 'node:http';
 import * as net from 'node:net';
@@ -13,27 +14,28 @@
   port: number;
   publish: (service: string, json: string) => void;
   setVms: (vms: Vm[]) => void;
-  /** While out, every call is answered 503. */
+  /** During an outage every call gets status 503. */
   setOutage: (out: boolean) => void;
   countCalls: () => number;
   stop: () => void;
 };
 
-type Waiter = { service: string; newerThan: number; response: http.ServerResponse };
+/** A long poll for a document newer than `newerThan`. */
+type PendingWatch = { service: string; newerThan: number; response: http.ServerResponse };
 
 type PlatformState = {
   documents: Map<string, string>;
   vms: Vm[];
-  out: boolean;
-  calls: number;
-  waiters: Set<Waiter>;
+  isOut: boolean;
+  callCount: number;
+  pendingWatches: Set<PendingWatch>;
 };
 
 const DOCUMENT_PATTERN = /^\/v1\/documents\/([^/?]+)/;
 const TEST_PATTERN = /^\/test\/documents\/([^/?]+)/;
 const JSON_TYPE = { 'content-type': 'application/json' };
 
-/** Reads the version of a document's text; 0 where it has none. */
+/** Parses the version of a document's text; 0 where it has none. */
 function readVersion(json: string): number {
   try {
     return (JSON.parse(json) as { version?: number }).version ?? 0;
@@ -42,13 +44,13 @@
   }
 }
 
-/** Answers a waiter where there is a newer document. */
-function answerNewer(state: PlatformState, waiter: Waiter): boolean {
-  const json = state.documents.get(waiter.service);
-  if (json === undefined || readVersion(json) <= waiter.newerThan) {
+/** Completes a watch if there is a newer document; returns whether it did. */
+function completeWatch(state: PlatformState, watch: PendingWatch): boolean {
+  const json = state.documents.get(watch.service);
+  if (json === undefined || readVersion(json) <= watch.newerThan) {
     return false;
   }
-  waiter.response.writeHead(200, JSON_TYPE).end(json);
+  watch.response.writeHead(200, JSON_TYPE).end(json);
   return true;
 }
 
@@ -61,24 +63,24 @@
 ): void {
   const newerThan = Number(url.searchParams.get('newer_than') ?? 0);
   const waitMs = Number(url.searchParams.get('wait_ms') ?? 0);
-  const waiter = { service, newerThan, response };
-  if (answerNewer(state, waiter)) {
+  const watch = { service, newerThan, response };
+  if (completeWatch(state, watch)) {
     return;
   }
-  state.waiters.add(waiter);
+  state.pendingWatches.add(watch);
   const timer = setTimeout(() => response.writeHead(204).end(), waitMs);
   response.on('close', () => {
     clearTimeout(timer);
-    state.waiters.delete(waiter);
+    state.pendingWatches.delete(watch);
   });
 }
 
-/** Puts a document in the service and answers those who wait for it. */
+/** Publishes a document and completes the watches that wait for it. */
 function publishDocument(state: PlatformState, service: string, json: string): void {
   state.documents.set(service, json);
-  [...state.waiters]
-    .filter((waiter) => waiter.service === service && answerNewer(state, waiter))
-    .forEach((waiter) => state.waiters.delete(waiter));
+  [...state.pendingWatches]
+    .filter((watch) => watch.service === service && completeWatch(state, watch))
+    .forEach((watch) => state.pendingWatches.delete(watch));
 }
 
 /** Serves one call. */
@@ -94,8 +96,8 @@
     response.writeHead(204).end();
     return;
   }
-  state.calls += 1;
-  if (state.out) {
+  state.callCount += 1;
+  if (state.isOut) {
     response.writeHead(503).end();
     return;
   }
@@ -107,14 +109,14 @@
   response.writeHead(200, JSON_TYPE).end(JSON.stringify({ vms: state.vms }));
 }
 
-/** Starts the platform. */
+/** Starts a platform. */
 export async function startPlatform(host = '127.0.0.1', port = 0): Promise<Platform> {
   const state: PlatformState = {
     documents: new Map(),
     vms: [],
-    out: false,
-    calls: 0,
-    waiters: new Set(),
+    isOut: false,
+    callCount: 0,
+    pendingWatches: new Set(),
   };
   const server = http.createServer((request, response) => {
     serve(state, request, response).catch(() => response.destroy());
@@ -129,10 +131,10 @@
       state.vms = vms;
     },
     setOutage: (out) => {
-      state.out = out;
-      state.waiters.forEach((waiter) => out && waiter.response.destroy());
+      state.isOut = out;
+      state.pendingWatches.forEach((watch) => out && watch.response.destroy());
     },
-    countCalls: () => state.calls,
+    countCalls: () => state.callCount,
     stop: () => {
       server.close();
       server.closeAllConnections();
--- a/packages/stand-ins/src/start-example.ts
+++ b/packages/stand-ins/src/start-example.ts
@@ -2,8 +2,8 @@
  * Starts a worked example on the stand-ins: `npm start`, or
  * `npm start -- --deployment cooperative --runners 13`.
  *
- * Engines and the platform run in this process, entries and agents each in
- * their own, from settings files. Ctrl-C stops all.
+ * The stand-ins of engines and platform run in this process; each entry and each
+ * agent is a process of its own with a settings file. Ctrl-C stops all.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -19,20 +19,21 @@
 import * as platform from './platform.js';
 
 const DEFAULT_DEPLOYMENT = 'quebrada';
-/** Backend servers of each service, at most; the brief's counts with --runners 13. */
-const DEFAULT_RUNNERS = '2';
+/** Maximum number of backend servers per service; `--runners 13` starts all of them. */
+const DEFAULT_BACKEND_SERVERS = '2';
 const ENTRY_COUNT = 2;
-/** An agent binds keys that were issued later than its start by twice the clock skew. */
+/** An agent binds only keys that were issued more than twice the clock skew after its start. */
 const KEYS_READY_MS = 3 * exampleDeployments.CLOCK_SKEW_MS;
 const SIGNALS = ['SIGINT', 'SIGTERM', 'SIGHUP'] as const;
 
 /**
- * Time in which the agents of the example start, milliseconds. They are not
- * restarted, so that callers who come sooner do no harm.
+ * Time in which the agents of the example start, milliseconds. Earlier calls do
+ * no harm, as these agents are not restarted.
  */
 const START_UP_MS = 60_000;
 
-type Running = {
+/** The processes of a started example and what they were started with. */
+type RunningExample = {
   folder: string;
   configurationUrl: string;
   deployment: exampleDeployments.ExampleDeployment;
@@ -42,19 +43,19 @@
   entries: exampleProcesses.ExampleProcess[];
 };
 
-/** Starts the engine or plain service of one backend server. */
-async function startBackend(kind: exampleDeployments.EngineKind): Promise<string> {
+/** Starts the engine or the plain service of one backend server and returns its URL. */
+async function startEngineOrService(kind: exampleDeployments.EngineKind): Promise<string> {
   const started =
     kind === exampleDeployments.EngineKind.PLAIN
       ? await plainService.startPlainService({})
-      : // The engines share this process; a crash must not take the others.
+      : // The engines share this process, so a simulated crash must not end it.
         await engine.startEngine({ crash: () => {} });
   return `http://127.0.0.1:${started.port}`;
 }
 
 /** Starts one backend server with its agent. */
-async function startRunner(
-  running: Running,
+async function startBackendServer(
+  running: RunningExample,
   service: exampleDeployments.ExampleService,
   index: number,
 ): Promise<exampleDeployments.ExampleServer> {
@@ -66,7 +67,7 @@
     service: service.name,
     failureDomain,
     platform: { configurationUrl: running.configurationUrl },
-    engineUrl: await startBackend(service.engineKind),
+    engineUrl: await startEngineOrService(service.engineKind),
     firstTrafficMs: running.firstTrafficMs,
   });
   running.agents.push(agent);
@@ -75,21 +76,23 @@
 
 /** Starts the backend servers of one service and publishes its document. */
 async function startService(
-  running: Running,
+  running: RunningExample,
   service: exampleDeployments.ExampleService,
   publish: (service: string, json: string) => void,
 ): Promise<void> {
   const count = Math.min(service.runners, running.runners);
   const indexes = Array.from({ length: count }, (_, index) => index);
-  const servers = await Promise.all(indexes.map((index) => startRunner(running, service, index)));
+  const servers = await Promise.all(
+    indexes.map((index) => startBackendServer(running, service, index)),
+  );
   const document = exampleDeployments.buildExampleDocument(service, servers);
   const json = JSON.stringify(document, undefined, 2);
   fs.writeFileSync(path.join(running.folder, `${service.name}.document.json`), json);
   publish(service.name, json);
 }
 
-/** Starts one entry for all services. */
-async function startEntry(running: Running, index: number): Promise<void> {
+/** Starts one entry, which serves all services. */
+async function startEntry(running: RunningExample, index: number): Promise<void> {
   const { failureDomains, services } = running.deployment;
   const id = `entry-${index + 1}`;
   const digestKeyFile = path.join(running.folder, 'digest.key');
@@ -110,8 +113,8 @@
   running.entries.push(entry);
 }
 
-/** Formats what to paste. */
-function formatGuide(running: Running): string {
+/** Formats the addresses and the commands to try, which are printed once all is started. */
+function formatGuide(running: RunningExample): string {
   const [first] = running.entries;
   const baseUrl = `http://127.0.0.1:${first.started.callerPort}`;
   const calls = running.deployment.services
@@ -131,7 +134,7 @@
     '# state of every process',
     `npx toucanproxy status ${operators.join(' ')}`,
     '',
-    '# one request, by the x-request-id of its answer (curl -i shows it)',
+    '# log lines of one request, by the x-request-id of its response (curl -i shows it)',
     `npx toucanproxy explain REQUEST_ID ${running.folder}/*.log`,
     '',
     'Ready. Ctrl-C stops all.',
@@ -139,18 +142,18 @@
   ].join('\n');
 }
 
-/** Stops entries first, so that what they hold can still end. */
-async function stopAll(running: Running): Promise<void> {
+/** Stops entries before agents, so that the requests of the entries can still complete. */
+async function stopAll(running: RunningExample): Promise<void> {
   await exampleProcesses.stopExampleProcesses(running.entries);
   await exampleProcesses.stopExampleProcesses(running.agents);
 }
 
-/** Starts everything and prints what to paste. */
-async function startExample(): Promise<Running> {
+/** Starts the platform, all backend servers with their agents, and the entries. */
+async function startExample(): Promise<RunningExample> {
   const { values } = util.parseArgs({
     options: {
       deployment: { type: 'string', default: DEFAULT_DEPLOYMENT },
-      runners: { type: 'string', default: DEFAULT_RUNNERS },
+      runners: { type: 'string', default: DEFAULT_BACKEND_SERVERS },
     },
   });
   const deployment = exampleDeployments.EXAMPLE_DEPLOYMENTS[values.deployment];
@@ -161,7 +164,7 @@
   const started = await platform.startPlatform();
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'toucanproxy-example-'));
   fs.writeFileSync(path.join(folder, 'digest.key'), crypto.randomUUID());
-  const running: Running = {
+  const running: RunningExample = {
     folder,
     configurationUrl: `http://127.0.0.1:${started.port}`,
     firstTrafficMs: Date.now() + START_UP_MS,
--- a/packages/stand-ins/src/weight-store.ts
+++ b/packages/stand-ins/src/weight-store.ts
@@ -5,9 +5,9 @@
 export type WeightStoreOptions = {
   host: string;
   port: number;
-  /** Calls that are served in any one second. */
+  /** Maximum number of calls that are served per second. */
   callsPerSecond: number;
-  /** Size of each file of weights, bytes. */
+  /** Size of each weights file, bytes. */
   weightBytes: number;
 };
 
@@ -26,17 +26,17 @@
 /** Starts a weight store. */
 export async function startWeightStore(given: Partial<WeightStoreOptions>): Promise<WeightStore> {
   const options = { ...DEFAULT_WEIGHT_STORE_OPTIONS, ...given };
-  let served = 0;
+  let servedInSecond = 0;
   const timer = setInterval(() => {
-    served = 0;
+    servedInSecond = 0;
   }, SECOND_MS);
   const server = http.createServer((request, response) => {
     if (!WEIGHTS_PATTERN.test(request.url ?? '')) {
       response.writeHead(404).end();
       return;
     }
-    served += 1;
-    if (served > options.callsPerSecond) {
+    servedInSecond += 1;
+    if (servedInSecond > options.callsPerSecond) {
       response.writeHead(429, { 'retry-after': '1' }).end();
       return;
     }
