--- a/packages/agent/src/app.ts
+++ b/packages/agent/src/app.ts
@@ -116,14 +116,14 @@
     engineUrl,
     report: (available) => task.post({ kind: 'engineAvailable', available }),
   });
-  const noticeFault = probe.probeSoon;
+  const onFault = probe.probeSoon;
   const isModelEngine = () =>
     state.documents.get(service)?.document.kind === schema.ServiceKind.MODEL;
   const engine = engineClient.createEngineClient({
     engineUrl,
     isModelEngine,
     post: task.post,
-    noticeFault,
+    onFault,
   });
   const receiveDocument = runtime.createDocumentReceiver(logger, task.post);
   const links = await startLinks(settings, task);
--- a/packages/agent/src/engine-client.ts
+++ b/packages/agent/src/engine-client.ts
@@ -23,7 +23,7 @@
   isModelEngine: () => boolean;
   post: (event: core.AgentEvent) => void;
   /** Called when an attempt ends with a fault, before the fault is reported. */
-  noticeFault: () => void;
+  onFault: () => void;
 };
 
 /** One attempt that runs on the engine. */
@@ -163,7 +163,7 @@
       execute(run, offer).then((fault) => {
         runs.delete(refKey);
         if (fault !== undefined) {
-          options.noticeFault();
+          options.onFault();
           post({ kind: 'engineFailed', refKey, fault });
         }
       });
@@ -177,7 +177,7 @@
       undici
         .request(buildStreamUrl(engineUrl, refKey), { method: 'DELETE', reset: true })
         .then((response) => response.body.dump())
-        .catch(options.noticeFault);
+        .catch(options.onFault);
     },
     stop: () => {
       dispatcher.destroy();
--- a/packages/core/src/agent/deadline-feasibility.test.ts
+++ b/packages/core/src/agent/deadline-feasibility.test.ts
@@ -2,13 +2,13 @@
 import * as nodeTest from 'node:test';
 import * as schema from '@toucanproxy/schema';
 import * as agentEvent from './agent-event.js';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 
 const RUN_MS = 100;
 
 /** Creates an agent whose only slot is busy; its measured throughput is 100 tokens per 100 ms. */
-function createBusyFixture(): agentFixture.Bench {
-  const agent = agentFixture.createBench({ maxRunning: 1, maxQueued: 10 });
+function createBusyFixture(): agentFixture.AgentFixture {
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1, maxQueued: 10 });
   agentFixture.offer(agent, 'r0');
   Array.from({ length: 20 }).forEach((_, index) => {
     agentFixture.offer(agent, `r${index + 1}`);
--- a/packages/core/src/agent/engine-limit.test.ts
+++ b/packages/core/src/agent/engine-limit.test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test';
 import * as agentEvent from './agent-event.js';
 import * as engineLimit from './engine-limit.js';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 import * as batchEngine from './mocks/batch-engine.js';
 
 type Measurements = { urgentWaitMs: number; ended: number; places: number };
@@ -14,7 +14,7 @@
 
 /** Runs a steady load of drafts and an occasional urgent request through one engine. */
 function run(maxBatch: number, isAdaptive: boolean, slowFrom = STEPS): Measurements {
-  const agent = agentFixture.createBench({
+  const agent = agentFixture.createAgentFixture({
     maxRunning: 32,
     maxQueued: 64,
     maxRunningTokens: 1_000_000,
--- a/packages/core/src/agent/engine-runs.test.ts
+++ b/packages/core/src/agent/engine-runs.test.ts
@@ -4,19 +4,19 @@
 import * as effect from '../shared/effect.js';
 import * as suspects from '../shared/suspects.js';
 import * as agentEvent from './agent-event.js';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 
 const { CRASHED, FAILED, UNREACHABLE } = agentEvent.EngineFault;
 
 /** Lets the engine crash with everything that runs. */
-function failEngine(agent: agentFixture.Bench): agentEvent.AgentEffect[] {
+function failEngine(agent: agentFixture.AgentFixture): agentEvent.AgentEffect[] {
   return [...agent.state.running].flatMap((refKey) =>
     agentFixture.handle(agent, { kind: 'engineFailed', refKey, fault: CRASHED }),
   );
 }
 
 /** Reports that the engine is available. */
-function startEngine(agent: agentFixture.Bench): agentEvent.AgentEffect[] {
+function startEngine(agent: agentFixture.AgentFixture): agentEvent.AgentEffect[] {
   return agentFixture.handle(agent, { kind: 'engineAvailable', available: true });
 }
 
@@ -24,7 +24,7 @@
   // Two requests run when the engine crashes; their connections break one after
   // the other. Both fail as run. The crash counts once for each, and entries
   // receive the suspects before callers can retry.
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   agentFixture.offer(agent, 'a');
   agentFixture.offer(agent, 'b');
   const effects = failEngine(agent);
@@ -45,7 +45,7 @@
   // A harmless request ran beside one that crashes the engine. Retried, it waits
   // until nothing else runs and holds others back while it runs. Its completion
   // clears it on this agent and, by heartbeat, on all others.
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   agentFixture.offer(agent, 'first', { contentDigest: 'innocent' });
   agentFixture.offer(agent, 'crasher');
   failEngine(agent);
@@ -68,7 +68,7 @@
   // The caller retries the request after each crash. The first crash makes its
   // content a suspect; after the second one, when it ran alone, the content is
   // refused as not run.
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   agentFixture.offer(agent, 'one', { contentDigest: 'poison' });
   failEngine(agent);
   startEngine(agent);
@@ -83,7 +83,7 @@
 });
 
 nodeTest.test('queued attempts are refused when an entry reports their content as crashing', () => {
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   agentFixture.offer(agent, 'running');
   agentFixture.offer(agent, 'queued', { contentDigest: 'poison' });
   const fields = { contentDigest: 'poison', crashes: 2, lastCrashMs: agent.now };
@@ -97,7 +97,7 @@
   // The engine is down, which is not yet known. The attempt is marked as started,
   // then its connection is refused: no byte was sent. The attempt is confirmed as
   // not run, and so are those queued behind it.
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   agentFixture.offer(agent, 'one');
   agentFixture.offer(agent, 'two');
   const effects = agentFixture.fail(agent, 'one', UNREACHABLE);
@@ -112,7 +112,7 @@
 });
 
 nodeTest.test('wasted prefill is counted by its cause', () => {
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   const payload = new Uint8Array(400);
   agentFixture.offer(agent, 'left', { payload, repeatable: true });
   agentFixture.offer(agent, 'failed', { payload });
@@ -133,7 +133,10 @@
 });
 
 /** Forwards the suspects that one agent reported to others, as an entry does. */
-function forwardSuspects(effects: agentEvent.AgentEffect[], agents: agentFixture.Bench[]): void {
+function forwardSuspects(
+  effects: agentEvent.AgentEffect[],
+  agents: agentFixture.AgentFixture[],
+): void {
   const received = agentFixture.listSent(effects, 'heartbeat').flatMap((one) => one.suspects);
   const heartbeat = schema.create(schema.EntryHeartbeatSchema, { suspects: received });
   agents.forEach((agent) => agentFixture.receive(agent, { case: 'heartbeat', value: heartbeat }));
@@ -141,7 +144,7 @@
 
 /** Sends crashing content to each agent in turn and counts the crashes. */
 function countCrashes(areSuspectsShared: boolean): number {
-  const agents = Array.from({ length: 5 }, () => agentFixture.createBench());
+  const agents = Array.from({ length: 5 }, () => agentFixture.createAgentFixture());
   let crashes = 0;
   Array.from({ length: 30 }).forEach((_, index) => {
     const agent = agents[index % agents.length];
--- a/packages/core/src/agent/invariants.test.ts
+++ b/packages/core/src/agent/invariants.test.ts
@@ -5,7 +5,7 @@
 import * as attemptRef from '../shared/attempt-ref.js';
 import * as suspects from '../shared/suspects.js';
 import * as agentEvent from './agent-event.js';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 import * as runs from './runs.js';
 
 /** Lists the names of the reported invariants. */
@@ -17,7 +17,7 @@
 
 nodeTest.test('reported: a request that may run only once is started again', () => {
   // An entry offers another attempt although the first one was started.
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   agentFixture.offer(agent, 'one');
   const ref = attemptRef.buildRef('one', 2);
   assert.deepEqual(listBroken(agentFixture.offer(agent, 'one', { ref, repeatable: true })), []);
@@ -26,7 +26,7 @@
 });
 
 nodeTest.test('reported: an attempt is started twice', () => {
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   agentFixture.offer(agent, 'one');
   const record = agent.state.runs.get('one#1');
   assert.ok(record !== undefined);
@@ -37,7 +37,7 @@
 
 nodeTest.test('reported: a suspect starts beside others', () => {
   // The suspect is started without waiting until nothing else runs.
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   suspects.recordCrash(agent.state.suspects, 'poison', false, agent.now);
   agentFixture.offer(agent, 'beside');
   agentFixture.offer(agent, 'suspect', { contentDigest: 'poison' });
@@ -49,7 +49,7 @@
 
 nodeTest.test('reported: an urgent request is shed before a draft', () => {
   // The queued draft cannot be evicted, because its record is missing.
-  const agent = agentFixture.createBench({ maxRunning: 1, maxQueued: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1, maxQueued: 1 });
   agentFixture.offer(agent, 'running');
   agentFixture.offer(agent, 'draft', { tierRank: 1 });
   agent.state.runs.delete('draft#1');
--- a/packages/core/src/agent/mocks/agent-bench.ts
+++ b/packages/core/src/agent/mocks/agent-fixture.ts
@@ -10,7 +10,7 @@
 export const SERVICE = 'brimwit';
 export const SERVER_ID = 'server-1';
 
-export type Bench = {
+export type AgentFixture = {
   state: agentState.AgentState;
   now: number;
   version: number;
@@ -23,19 +23,22 @@
 type SentOf<C extends Sent['case']> = Extract<Sent, { case: C }>;
 
 /** Applies one event at the fixture's present time. */
-export function handle(fixture: Bench, event: agentEvent.AgentEvent): agentEvent.AgentEffect[] {
+export function handle(
+  fixture: AgentFixture,
+  event: agentEvent.AgentEvent,
+): agentEvent.AgentEffect[] {
   return handleAgentEvent.handleAgentEvent(fixture.state, event, fixture.now);
 }
 
 /** Advances the clock and applies a tick. */
-export function advance(fixture: Bench, ms: number): agentEvent.AgentEffect[] {
+export function advance(fixture: AgentFixture, ms: number): agentEvent.AgentEffect[] {
   fixture.now += ms;
   return handle(fixture, { kind: 'ticked' });
 }
 
 /** Activates a document with these limits. */
 export function setLimits(
-  fixture: Bench,
+  fixture: AgentFixture,
   limits: Fields<schema.Limits>,
   serverState = schema.BackendServerState.ACTIVE,
 ): agentEvent.AgentEffect[] {
@@ -50,7 +53,7 @@
 }
 
 /** Creates an agent with one open link and these limits. */
-export function createBench(limits: Fields<schema.Limits> = {}): Bench {
+export function createAgentFixture(limits: Fields<schema.Limits> = {}): AgentFixture {
   const now = 1_000_000;
   const identity = { backendServerId: SERVER_ID, service: SERVICE, life: LIFE };
   const fixture = { state: agentState.createAgentState(identity, now), now, version: 0 };
@@ -61,7 +64,7 @@
 
 /** Applies one message of an entry. */
 export function receive(
-  fixture: Bench,
+  fixture: AgentFixture,
   body: schema.EntryMessage['body'],
   linkId = LINK_ID,
 ): agentEvent.AgentEffect[] {
@@ -71,7 +74,7 @@
 
 /** Applies the offer of a request. */
 export function offer(
-  fixture: Bench,
+  fixture: AgentFixture,
   requestId: string,
   fields: Fields<schema.Offer> = {},
 ): agentEvent.AgentEffect[] {
@@ -91,7 +94,7 @@
 
 /** Applies the reservation of a slot. */
 export function reserve(
-  fixture: Bench,
+  fixture: AgentFixture,
   requestId: string,
   fields: Fields<schema.Reserve> = {},
 ): agentEvent.AgentEffect[] {
@@ -107,13 +110,13 @@
 }
 
 /** Applies the release of a reservation or a held slot. */
-export function release(fixture: Bench, requestId: string): agentEvent.AgentEffect[] {
+export function release(fixture: AgentFixture, requestId: string): agentEvent.AgentEffect[] {
   const value = schema.create(schema.ReleaseSchema, { requestId });
   return receive(fixture, { case: 'release', value });
 }
 
 /** Lets the engine complete an attempt. */
-export function complete(fixture: Bench, requestId: string): agentEvent.AgentEffect[] {
+export function complete(fixture: AgentFixture, requestId: string): agentEvent.AgentEffect[] {
   const refKey = `${requestId}#1`;
   return [
     ...handle(fixture, { kind: 'engineHead', refKey, status: 200, contentType: 'text/plain' }),
@@ -123,7 +126,7 @@
 
 /** Lets an attempt end with an engine fault. */
 export function fail(
-  fixture: Bench,
+  fixture: AgentFixture,
   requestId: string,
   fault: agentEvent.EngineFault,
 ): agentEvent.AgentEffect[] {
--- a/packages/core/src/agent/mocks/batch-engine.ts
+++ b/packages/core/src/agent/mocks/batch-engine.ts
@@ -1,6 +1,6 @@
 /** A simulated model engine under a virtual clock: a batch, and a queue without tiers. */
 import * as agentEvent from '../agent-event.js';
-import * as agentFixture from './agent-bench.js';
+import * as agentFixture from './agent-fixture.js';
 
 type Run = { refKey: string; prefillSteps: number; tokensLeft: number; headSent: boolean };
 
@@ -30,7 +30,7 @@
 }
 
 /** Advances one run by a step and reports its events to the agent. */
-function advanceRun(agent: agentFixture.Bench, run: Run): agentEvent.AgentEffect[] {
+function advanceRun(agent: agentFixture.AgentFixture, run: Run): agentEvent.AgentEffect[] {
   const { refKey } = run;
   if (run.prefillSteps > 0) {
     run.prefillSteps -= 1;
@@ -51,7 +51,10 @@
 }
 
 /** Fills the batch and advances its runs by one step. */
-export function advance(engine: BatchEngine, agent: agentFixture.Bench): agentEvent.AgentEffect[] {
+export function advance(
+  engine: BatchEngine,
+  agent: agentFixture.AgentFixture,
+): agentEvent.AgentEffect[] {
   while (engine.batch.length < engine.maxBatch && engine.waiting.length > 0) {
     engine.batch.push(engine.waiting.shift() as Run);
   }
--- a/packages/core/src/agent/offers.test.ts
+++ b/packages/core/src/agent/offers.test.ts
@@ -3,13 +3,13 @@
 import * as schema from '@toucanproxy/schema';
 import * as keyRetention from '../shared/key-retention.js';
 import * as agentState from './agent-state.js';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 
 nodeTest.test('a copy of an offer whose record has expired never runs', () => {
   // A request completes. A copy of its offer is delayed on a stalled link until
   // the record of the attempt has expired. Treated as a new offer, it would run
   // the request a second time.
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   const issuedMs = agent.now;
   const retentionMs = keyRetention.computeRetention(agentState.getTiming(agent.state));
   const deadlineMs = issuedMs + 2 * retentionMs;
@@ -24,7 +24,7 @@
 });
 
 nodeTest.test('an offer within the key window runs', () => {
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   const { keyWindowMs } = agentState.getTiming(agent.state);
   const issuedMs = agent.now - keyWindowMs;
   assert.deepEqual(agentFixture.listStarted(agentFixture.offer(agent, 'one', { issuedMs })), [
--- a/packages/core/src/agent/reservations.test.ts
+++ b/packages/core/src/agent/reservations.test.ts
@@ -1,7 +1,7 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as schema from '@toucanproxy/schema';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 import * as reservation from './reservation.js';
 
 /** Lists the requests that were granted a slot. */
@@ -10,7 +10,7 @@
 }
 
 nodeTest.test('the most urgent reservation is granted when a slot becomes free', () => {
-  const agent = agentFixture.createBench({ maxRunning: 1, urgentHeadroomPercent: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1, urgentHeadroomPercent: 1 });
   agentFixture.offer(agent, 'running');
   agentFixture.reserve(agent, 'draft', { tierRank: 1 });
   agentFixture.reserve(agent, 'stall', { tierRank: 0 });
@@ -21,7 +21,7 @@
 });
 
 nodeTest.test('a held slot counts as used', () => {
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   assert.deepEqual(listGranted(agentFixture.reserve(agent, 'held')), ['held']);
   assert.deepEqual(agentFixture.listStarted(agentFixture.offer(agent, 'other')), []);
   assert.deepEqual(agentFixture.listStarted(agentFixture.release(agent, 'held')), ['other']);
@@ -31,7 +31,7 @@
   // The entry or its link fails between grant and offer. The hold expires and the
   // next item in the queue starts. A late offer is queued like any other and is
   // not lost.
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   agentFixture.reserve(agent, 'slow');
   agentFixture.offer(agent, 'next');
   assert.deepEqual(agentFixture.listStarted(agentFixture.advance(agent, reservation.HOLD_MS)), [
@@ -47,7 +47,7 @@
   // The link of an entry closes with one slot held and one reservation queued.
   // The request of another entry gets the slot; nothing is granted to the closed
   // link.
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   agentFixture.reserve(agent, 'held');
   agentFixture.reserve(agent, 'queued');
   agentFixture.handle(agent, { kind: 'linkOpened', linkId: 2 });
@@ -60,7 +60,7 @@
 nodeTest.test('duplicate and late messages of reservations have no effect', () => {
   // Each message arrives twice or too late. The request runs once, the slot is
   // used once, and a late release frees nothing.
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   agentFixture.reserve(agent, 'one');
   assert.deepEqual(listGranted(agentFixture.reserve(agent, 'one')), ['one']);
   assert.equal(agent.state.holds.size, 1);
@@ -75,7 +75,7 @@
 });
 
 nodeTest.test('an expired reservation is refused at once', () => {
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   const effects = agentFixture.reserve(agent, 'late', { deadlineMs: agent.now });
   const [refused] = agentFixture.listSent(effects, 'reserveRefused');
   assert.equal(refused.code, schema.ResultCode.DEADLINE_UNREACHABLE);
@@ -84,7 +84,7 @@
 nodeTest.test('a leaving agent refuses reservations and releases its holds', () => {
   // SIGTERM arrives while one slot is held and one reservation is queued. Both are
   // refused at once, and the offer for the held slot is confirmed as not run.
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   agentFixture.reserve(agent, 'held');
   agentFixture.reserve(agent, 'queued');
   const effects = agentFixture.handle(agent, { kind: 'shutdownStarted' });
--- a/packages/core/src/agent/run-retention.test.ts
+++ b/packages/core/src/agent/run-retention.test.ts
@@ -2,14 +2,14 @@
 import * as nodeTest from 'node:test';
 import * as schema from '@toucanproxy/schema';
 import * as attemptRef from '../shared/attempt-ref.js';
-import * as agentFixture from './mocks/agent-bench.js';
+import * as agentFixture from './mocks/agent-fixture.js';
 import * as runRetention from './run-retention.js';
 
 const MINUTE_MS = 60_000;
 const MEGABYTE = 1024 * 1024;
 
 /** Lets an attempt complete with a response of this size. */
-function completeWith(agent: agentFixture.Bench, requestId: string, bytes: number): void {
+function completeWith(agent: agentFixture.AgentFixture, requestId: string, bytes: number): void {
   const refKey = `${requestId}#1`;
   agentFixture.offer(agent, requestId);
   agentFixture.handle(agent, {
@@ -23,7 +23,7 @@
 }
 
 /** Resumes a response from its start. */
-function resume(agent: agentFixture.Bench, requestId: string) {
+function resume(agent: agentFixture.AgentFixture, requestId: string) {
   const ref = attemptRef.buildRef(requestId, 1);
   const fields = { ref, agentLife: agentFixture.LIFE, workspace: 'brim' };
   const value = schema.create(schema.ResumeSchema, fields);
@@ -31,7 +31,7 @@
 }
 
 nodeTest.test('records expire once a late copy of the offer would be stale', () => {
-  const agent = agentFixture.createBench();
+  const agent = agentFixture.createAgentFixture();
   completeWith(agent, 'old', 10);
   agentFixture.advance(agent, 14 * MINUTE_MS);
   completeWith(agent, 'new', 10);
@@ -44,7 +44,7 @@
   // Entries fail without acknowledging responses, and many responses are large.
   // Memory stays bounded. Resuming a response that was dropped reports the
   // attempt as run without its response; it is never run again.
-  const agent = agentFixture.createBench({ maxRunning: 1 });
+  const agent = agentFixture.createAgentFixture({ maxRunning: 1 });
   completeWith(agent, 'waiting', 16 * MEGABYTE);
   completeWith(agent, 'received', 10 * MEGABYTE);
   const fields = { ref: attemptRef.buildRef('received', 1), nextSequence: 3 };
--- a/packages/core/src/shared/start-queue.test.ts
+++ b/packages/core/src/shared/start-queue.test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test';
 import * as fastCheck from 'fast-check';
 import * as schema from '@toucanproxy/schema';
-import * as bench from '../agent/mocks/agent-bench.js';
+import * as bench from '../agent/mocks/agent-fixture.js';
 import * as startQueue from './start-queue.js';
 
 const ITEM: startQueue.QueuedItem = {
@@ -77,7 +77,7 @@
   // The queue is full. The caller of the evicted draft is told that it was not
   // run, the urgent one waits in its place, and a draft that comes then is
   // refused, for everything that waits is at least as urgent.
-  const agent = bench.createBench({ maxRunning: 1, maxQueued: 2 });
+  const agent = bench.createAgentFixture({ maxRunning: 1, maxQueued: 2 });
   bench.offer(agent, 'running');
   bench.offer(agent, 'draft-old', { tierRank: 2 });
   bench.offer(agent, 'draft-new', { tierRank: 2 });
@@ -93,7 +93,7 @@
   // The only place is held for a draft whose offer is on its way, and the
   // queue is full of urgent work. The next urgent one is taken in; the draft
   // loses its place before an urgent one is shed.
-  const agent = bench.createBench({ maxRunning: 1, maxQueued: 1 });
+  const agent = bench.createAgentFixture({ maxRunning: 1, maxQueued: 1 });
   bench.reserve(agent, 'draft', { tierRank: 2 });
   bench.offer(agent, 'stall-1');
   const effects = bench.offer(agent, 'stall-2');
@@ -104,7 +104,7 @@
 });
 
 nodeTest.test('headroom is kept for the most urgent tier', () => {
-  const agent = bench.createBench({ maxRunning: 4, urgentHeadroomPercent: 25 });
+  const agent = bench.createAgentFixture({ maxRunning: 4, urgentHeadroomPercent: 25 });
   const drafts = ['a', 'b', 'c', 'd'].flatMap((id) => bench.offer(agent, id, { tierRank: 1 }));
   assert.deepEqual(bench.listStarted(drafts), ['a', 'b', 'c']);
   assert.deepEqual(bench.listStarted(bench.offer(agent, 'stall')), ['stall']);
--- a/packages/proofs/src/engine-client.test.ts
+++ b/packages/proofs/src/engine-client.test.ts
@@ -39,7 +39,7 @@
   };
   const isModelEngine = () => isModel;
   const noticeFault = () => {};
-  const client = agent.createEngineClient({ engineUrl, isModelEngine, post, noticeFault });
+  const client = agent.createEngineClient({ engineUrl, isModelEngine, post, onFault: noticeFault });
   const waitFor = (matches: (event: core.AgentEvent) => boolean) =>
     new Promise<core.AgentEvent>((resolve) => {
       const check = () => {
@@ -155,7 +155,7 @@
       engineUrl,
       isModelEngine: () => true,
       post: (event) => resolve(event.kind === 'engineFailed' ? event.fault : event.kind),
-      noticeFault: () => {},
+      onFault: () => {},
     });
     client.start(REF_KEY, buildOffer(BODY));
   });
--- a/packages/stand-ins/src/platform.ts
+++ b/packages/stand-ins/src/platform.ts
@@ -15,7 +15,7 @@
   publish: (service: string, json: string) => void;
   setVms: (vms: Vm[]) => void;
   /** During an outage every call gets status 503. */
-  setOutage: (out: boolean) => void;
+  setOutage: (isOut: boolean) => void;
   countCalls: () => number;
   stop: () => void;
 };
@@ -130,9 +130,9 @@
     setVms: (vms) => {
       state.vms = vms;
     },
-    setOutage: (out) => {
-      state.isOut = out;
-      state.pendingWatches.forEach((watch) => out && watch.response.destroy());
+    setOutage: (isOut) => {
+      state.isOut = isOut;
+      state.pendingWatches.forEach((watch) => isOut && watch.response.destroy());
     },
     countCalls: () => state.callCount,
     stop: () => {
