--- a/packages/core/src/entry/observations.ts
+++ b/packages/core/src/entry/agent-measurements.ts
@@ -1,6 +1,6 @@
-/** Takes what this entry sees of its agents into their health. */
+/** Records what this entry observes of its agents: durations, costs, successes and failures. */
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as agentHealth from './agent-health.js';
 import * as candidates from './candidates.js';
 import * as costModel from './cost-model.js';
@@ -10,8 +10,8 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Ejects an agent whose health has become bad, and logs it. */
-function ejectWhereBad(
+/** Ejects an agent whose health has become bad, and logs the ejection. */
+function ejectIfUnhealthy(
   state: entryState.EntryState,
   agent: entryState.AgentView,
   now: number,
@@ -29,56 +29,56 @@
       ];
 }
 
-/** Finds the agent that holds a request. */
-function findAgent(
+/** Returns the agent that serves a request; undefined for a joined attempt. */
+function findServingAgent(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
 ): entryState.AgentView | undefined {
   const { target } = request;
-  // The times of a joined attempt are those of another call.
+  // The durations of a joined attempt are those of another call.
   return target?.joined === false ? state.agents.get(target.backendServerId) : undefined;
 }
 
-/** Notes how long a started request took to a stage. */
-export function noteDuration(
+/** Records how long a started request took to reach a stage. */
+export function recordDuration(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   stage: agentHealth.Stage,
   now: number,
 ): Effects {
-  const agent = findAgent(state, request);
+  const agent = findServingAgent(state, request);
   if (agent === undefined || request.startedMs === 0) {
     return [];
   }
-  const { durations } = accounts.getServiceOf(state, request);
+  const { durations } = requestAccounting.getRequestService(state, request);
   const { estimatedTokens } = request.arrived;
   const { className } = request;
   const ms = now - request.startedMs;
-  const usualMs = durationModel.getDuration(durations, stage, className, estimatedTokens);
+  const expectedMs = durationModel.estimateDuration(durations, stage, className, estimatedTokens);
   durationModel.recordDuration(durations, stage, className, estimatedTokens, ms);
-  if (usualMs === 0) {
+  if (expectedMs === 0) {
     return [];
   }
-  agentHealth.recordRatio(agent.health, stage, ms / usualMs, now);
-  return ejectWhereBad(state, agent, now);
+  agentHealth.recordRatio(agent.health, stage, ms / expectedMs, now);
+  return ejectIfUnhealthy(state, agent, now);
 }
 
-/** Notes that the agent of a request failed it. */
-export function noteFailure(
+/** Records that the agent of a request failed it. */
+export function recordFailure(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const agent = findAgent(state, request);
+  const agent = findServingAgent(state, request);
   if (agent === undefined) {
     return [];
   }
   agentHealth.recordFailure(agent.health);
-  return ejectWhereBad(state, agent, now);
+  return ejectIfUnhealthy(state, agent, now);
 }
 
-/** Learns what a request cost whose whole answer has come. */
-export function noteCompleted(
+/** Records the cost and the duration of a request whose response is complete. */
+export function recordCompletion(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
@@ -86,11 +86,11 @@
   if (request.target?.joined === true) {
     return [];
   }
-  const { costs } = accounts.getServiceOf(state, request);
-  costModel.recordAnswer(costs, request.className, request.answerTokens);
-  const agent = findAgent(state, request);
+  const { costs } = requestAccounting.getRequestService(state, request);
+  costModel.recordResponse(costs, request.className, request.answerTokens);
+  const agent = findServingAgent(state, request);
   if (agent !== undefined) {
     agentHealth.recordSuccess(agent.health);
   }
-  return noteDuration(state, request, agentHealth.Stage.COMPLETION, now);
+  return recordDuration(state, request, agentHealth.Stage.COMPLETION, now);
 }
--- a/packages/core/src/entry/index.ts
+++ b/packages/core/src/entry/index.ts
@@ -1,4 +1,4 @@
-/** The entry's decisions. */
+/** Decision logic of the entry: a state, its events and the effects that they produce. */
 export * from './entry-event.js';
 export {
   createEntryState,
@@ -12,4 +12,4 @@
 export * from './handle-entry-event.js';
 export * from './link-selection.js';
 export * from './placement.js';
-export { FIRST_PREFIX_TOKENS } from './prefix-memory.js';
+export { FIRST_PREFIX_TOKENS } from './prefix-locations.js';
--- a/packages/core/src/entry/parking.ts
+++ b/packages/core/src/entry/parking.ts
@@ -1,9 +1,9 @@
-/** Requests that wait in the entry until an agent has room for them. */
+/** Parked requests: those that wait in the entry until an agent's queue has room for them. */
 import * as schema from '@toucanproxy/schema';
 import * as startQueue from '../shared/start-queue.js';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
-import * as asking from './asking.js';
+import * as requestAccounting from './request-accounting.js';
+import * as assignment from './assignment.js';
 import * as candidates from './candidates.js';
 import * as queueThroughput from '../shared/queue-throughput.js';
 import * as entryEvent from './entry-event.js';
@@ -13,30 +13,33 @@
 
 type Effects = entryEvent.EntryEffect[];
 
-/** How long a service without any agent waits for links to open, milliseconds. */
+/** How long a service without any linked agent waits for links to open, milliseconds. */
 const LINK_GRACE_MS = 2000;
-/** Wait for the grant of an agent that had room before others are asked, milliseconds. */
+/**
+ * How long to wait for the grant of an agent that had room before others are
+ * asked, milliseconds.
+ */
 export const ASK_MORE_MS = 500;
-/** Requests that one sign of room at an agent wakes, at most. */
-const MAX_WOKEN = 32;
+/** Maximum number of requests that are retried when one agent has room. */
+const MAX_WOKEN_REQUESTS = 32;
 
-/** Lets a request wait until an agent has room, where that can be in time. */
+/** Parks a request until an agent has room, if that can happen before its deadline. */
 export function waitForRoom(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const service = accounts.getServiceOf(state, request);
-  const ahead = accounts.estimateTokensAhead(state, request);
-  const waitMs = queueThroughput.estimateWaitMs(service.drain, ahead);
+  const service = requestAccounting.getRequestService(state, request);
+  const ahead = requestAccounting.estimateTokensAhead(state, request);
+  const waitMs = queueThroughput.estimateWaitMs(service.throughput, ahead);
   const unreachable =
-    request.refusedBy.size > 0 && request.unreachableBy.size >= request.refusedBy.size;
+    request.refusedBy.size > 0 && request.deadlineRefusedBy.size >= request.refusedBy.size;
   if (unreachable || now + waitMs >= request.deadlineMs) {
     const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
     const code = schema.ResultCode.DEADLINE_UNREACHABLE;
     return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
   }
-  accounts.addParked(state, request, now);
+  requestAccounting.addParked(state, request, now);
   const line = effect.logDecision('parked', {
     request: request.requestId,
     service: service.service,
@@ -47,7 +50,7 @@
   return [line, ...shedding.shedOverflow(state, service, now)];
 }
 
-/** Tells whether links of a service may still open soon. */
+/** Whether links of a service may still open soon. */
 function isOpening(state: entryState.EntryState, service: string, now: number): boolean {
   const { lastLinkedMs } = entryState.getService(state, service);
   const document = entryState.getDocument(state, service);
@@ -57,28 +60,28 @@
   return staying === true && now - lastLinkedMs < LINK_GRACE_MS;
 }
 
-/** Decides on a request whose service has no agent at all. */
+/** Parks or fails a request whose service has no usable agent. */
 export function handleNoAgent(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   now: number,
 ): Effects {
-  const service = accounts.getServiceOf(state, request);
+  const service = requestAccounting.getRequestService(state, request);
   if (!isOpening(state, service.service, now)) {
     const retryAfterMs = shedding.drawRetryAfter(state, service, request.tierRank);
     const code = schema.ResultCode.NO_BACKEND_SERVER;
     return outcomes.fail(state, request, outcomes.buildNotRun(code, retryAfterMs), now);
   }
-  accounts.addParked(state, request, now);
-  request.askMoreMs = service.lastLinkedMs + LINK_GRACE_MS;
-  accounts.updateDue(state, request, now);
+  requestAccounting.addParked(state, request, now);
+  request.nextAskAtMs = service.lastLinkedMs + LINK_GRACE_MS;
+  requestAccounting.updateDueTime(state, request, now);
   return shedding.shedOverflow(state, service, now);
 }
 
 /**
- * Lists the agents whose queue, as last reported, takes a request. Asking the
- * others costs two messages each and ends in a refusal; they wake the request
- * when they have room.
+ * Lists the agents whose queue, by their last report, has room for a request.
+ * Asking the others would cost two messages each and end in a refusal. The
+ * request is retried when one of them has room.
  */
 export function listWithRoom(
   state: entryState.EntryState,
@@ -88,7 +91,7 @@
   return agents.filter((agent) => countRoom(state, agent, request.tierRank) > 0);
 }
 
-/** Counts the requests of a tier that an agent has room for, as it last reported. */
+/** Counts the requests of a tier for which an agent has room, by its last report. */
 function countRoom(
   state: entryState.EntryState,
   agent: entryState.AgentView,
@@ -102,9 +105,9 @@
 }
 
 /**
- * Asks an agent that has room for requests that wait for it, in their turn.
+ * Asks an agent that has room to take parked requests, in queue order.
  *
- * @param leastRoom room that is known of besides what the agent last reported
+ * @param leastRoom room that is known of, whatever the agent last reported
  */
 export function retryParked(
   state: entryState.EntryState,
@@ -113,12 +116,12 @@
   leastRoom = 0,
 ): Effects {
   const usable = candidates.listUsable(state, agent.service, now).includes(agent);
-  if (!usable || entryState.isBehind(state, agent.service, now)) {
+  if (!usable || entryState.isDocumentOutdated(state, agent.service, now)) {
     return [];
   }
   const { parked } = entryState.getService(state, agent.service);
   const effects: Effects = [];
-  for (let woken = 0; woken < MAX_WOKEN; woken += 1) {
+  for (let woken = 0; woken < MAX_WOKEN_REQUESTS; woken += 1) {
     const item = startQueue.findNext(parked);
     const request = item && state.requests.get(item.id);
     if (item === undefined || request === undefined) {
@@ -129,15 +132,17 @@
     }
     startQueue.takeItem(parked, item);
     request.refusedBy.delete(agent.backendServerId);
-    request.unreachableBy.delete(agent.backendServerId);
-    request.askMoreMs = now + ASK_MORE_MS;
-    accounts.updateDue(state, request, now);
-    effects.push(...asking.askAgent(state, request, agent, asking.AskReason.ROOM, now));
+    request.deadlineRefusedBy.delete(agent.backendServerId);
+    request.nextAskAtMs = now + ASK_MORE_MS;
+    requestAccounting.updateDueTime(state, request, now);
+    effects.push(
+      ...assignment.askAgent(state, request, agent, assignment.AssignmentReason.ROOM, now),
+    );
   }
   return effects;
 }
 
-/** Asks every agent that has room for requests that wait for it. */
+/** Asks every agent that has room to take parked requests. */
 export function retryAllParked(
   state: entryState.EntryState,
   service: string,
--- a/packages/core/src/entry/placement.test.ts
+++ b/packages/core/src/entry/placement.test.ts
@@ -1,6 +1,6 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
-import * as entryBench from './mocks/entry-bench.js';
+import * as entryFixture from './mocks/entry-fixture.js';
 import * as placement from './placement.js';
 
 function makeCandidate(
@@ -15,7 +15,7 @@
     queuedTokens: 0,
     tokensPerSecond: 1000,
     cachedTokens: 0,
-    paceMs: 0,
+    msPerToken: 0,
     trafficShare: 1,
     preferred: false,
     ...fields,
@@ -28,20 +28,20 @@
   return candidates.map((one) => one.backendServerId);
 }
 
-nodeTest.test('ways to push', () => {
+nodeTest.test('push strategies', () => {
   const candidates = [
     makeCandidate('a', { outstandingTokens: 900, reportedTokens: 10 }),
     makeCandidate('b', { outstandingTokens: 500, reportedTokens: 20 }),
     makeCandidate('c', { outstandingTokens: 900, tokensPerSecond: 9000, reportedTokens: 30 }),
   ];
-  assert.equal(placement.chooseInTurn(candidates, CONTEXT).backendServerId, 'b');
-  assert.equal(placement.chooseBetterOfTwo(candidates, CONTEXT).backendServerId, 'a');
+  assert.equal(placement.chooseRoundRobin(candidates, CONTEXT).backendServerId, 'b');
+  assert.equal(placement.choosePowerOfTwoChoices(candidates, CONTEXT).backendServerId, 'a');
   assert.equal(placement.chooseLeastOutstanding(candidates, CONTEXT).backendServerId, 'c');
 });
 
 nodeTest.test('the least delay is asked, slow and returning ones last', () => {
   const candidates = [
-    makeCandidate('slow', { paceMs: 3, queued: 1 }),
+    makeCandidate('slow', { msPerToken: 3, queued: 1 }),
     makeCandidate('back', { trafficShare: 0.1, queued: 1 }),
     makeCandidate('busy', { queuedTokens: 4000, queued: 1 }),
     makeCandidate('idle', { queued: 1 }),
@@ -52,8 +52,9 @@
 });
 
 nodeTest.test('one with room is asked alone, as long as it is worth the wait', () => {
-  // Both have room, one takes 250 ms and one 500 ms. Asked together, the nearer
-  // would win; asked after the gap, the slow one only makes up for a lost grant.
+  // Both have room; one takes 250 ms and the other 500 ms. If both were asked at
+  // once, the nearer one would win. Asked after the difference, the slower one only
+  // replaces a lost grant.
   const fast = makeCandidate('fast', { tokensPerSecond: 2000 });
   const plan = placement.selectLeastDelay([makeCandidate('slow'), fast], CONTEXT, 3);
   assert.deepEqual(listIds(plan.asked), ['fast']);
@@ -72,27 +73,30 @@
 });
 
 nodeTest.test('a prefix goes back to where it was sent, within its workspace', () => {
-  const bench = entryBench.createBench({ agents: ['a', 'b', 'c', 'd', 'e'], busy: true });
+  const fixture = entryFixture.createFixture({ agents: ['a', 'b', 'c', 'd', 'e'], busy: true });
   const payload = new Uint8Array(4000);
   const long = { payload, prefixHashes: [11, 22], estimatedTokens: 1100 };
-  const first = entryBench.sendRequest(bench, long);
-  const [, holder] = entryBench.listAsked(bench, first);
-  const id = entryBench.getRequestId(bench, first);
-  entryBench.grant(bench, holder, id);
-  entryBench.complete(bench, holder, id, new Uint8Array(8));
-  const same = entryBench.sendRequest(bench, long);
-  assert.deepEqual(entryBench.listAsked(bench, same), [holder]);
-  entryBench.advance(bench, 500);
-  assert.ok(entryBench.listAsked(bench, same).length > 1);
-  const other = entryBench.sendRequest(bench, { ...long, tokenSha256: 'band-stall' });
-  assert.equal(entryBench.listAsked(bench, other).length, 3);
+  const first = entryFixture.sendRequest(fixture, long);
+  const [, holder] = entryFixture.listAsked(fixture, first);
+  const id = entryFixture.getRequestId(fixture, first);
+  entryFixture.grant(fixture, holder, id);
+  entryFixture.complete(fixture, holder, id, new Uint8Array(8));
+  const same = entryFixture.sendRequest(fixture, long);
+  assert.deepEqual(entryFixture.listAsked(fixture, same), [holder]);
+  entryFixture.advance(fixture, 500);
+  assert.ok(entryFixture.listAsked(fixture, same).length > 1);
+  const other = entryFixture.sendRequest(fixture, { ...long, tokenSha256: 'band-stall' });
+  assert.equal(entryFixture.listAsked(fixture, other).length, 3);
 });
 
 nodeTest.test('entries that do not know a prefix meet at one backend server', () => {
   const agents = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
   const asked = [1, 2, 3, 4].map(() => {
-    const bench = entryBench.createBench({ agents, busy: true });
-    return entryBench.listAsked(bench, entryBench.sendRequest(bench, { prefixHashes: [7] }));
+    const fixture = entryFixture.createFixture({ agents, busy: true });
+    return entryFixture.listAsked(
+      fixture,
+      entryFixture.sendRequest(fixture, { prefixHashes: [7] }),
+    );
   });
   const shared = agents.filter((agent) => asked.every((list) => list.includes(agent)));
   assert.ok(shared.length >= 1);
--- a/packages/entry/src/caller-answer.ts
+++ b/packages/entry/src/caller-response.ts
@@ -1,8 +1,8 @@
-/** Writes answers to callers' connections. */
+/** Writes responses to callers' connections. */
 import * as http from 'node:http';
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
-import * as failureAnswer from './failure-answer.js';
+import * as failureResponse from './failure-response.js';
 
 export type CallerEffect = Extract<
   core.EntryEffect,
@@ -11,30 +11,30 @@
 type EffectOf<K extends CallerEffect['kind']> = Extract<CallerEffect, { kind: K }>;
 
 export enum ExchangePhase {
-  /** Its body is still coming. */
+  /** The body is still being received. */
   READING = 'reading',
-  /** The core decides on it, or its answer is on the way. */
+  /** The core has the request, or its response is being sent. */
   HELD = 'held',
 }
 
-/** One request of a caller with the answer to it. */
+/** A request of a caller and its response. */
 export type Exchange = {
   callerId: number;
   request: http.IncomingMessage;
   response: http.ServerResponse;
   phase: ExchangePhase;
   streamed: boolean;
-  /** The result follows the body as a trailer. */
-  trailing: boolean;
+  /** The result code follows the body as a trailer. */
+  sendsTrailer: boolean;
   writtenBytes: number;
   stallTimer: NodeJS.Timeout | undefined;
 };
 
-export type AnswerLimits = {
+export type ResponseLimits = {
   maxAnswerBufferBytes: number;
   readTimeoutMs: number;
-  /** Told of a caller that was given up because it does not read. */
-  reportCut: (callerId: number, unreadBytes: number) => void;
+  /** Called when a response was aborted because its caller does not read it. */
+  reportSlowCaller: (callerId: number, unreadBytes: number) => void;
 };
 
 const EVENT_STREAM = 'text/event-stream';
@@ -42,7 +42,7 @@
 const BODILESS_STATUSES = new Set([204, 304]);
 const COMPLETED = String(schema.ResultCode.COMPLETED);
 
-/** Builds the record of a request that has begun to arrive. */
+/** Creates the record of a request that has begun to arrive. */
 export function makeExchange(
   callerId: number,
   request: http.IncomingMessage,
@@ -50,28 +50,28 @@
 ): Exchange {
   const phase = ExchangePhase.READING;
   const base = { callerId, request, response, phase };
-  return { ...base, streamed: false, trailing: false, writtenBytes: 0, stallTimer: undefined };
+  return { ...base, streamed: false, sendsTrailer: false, writtenBytes: 0, stallTimer: undefined };
 }
 
-/** Computes the bytes that have left this process for the caller. */
+/** Computes how many bytes of the response have left this process. */
 function computeSentBytes(exchange: Exchange): number {
   return exchange.writtenBytes - exchange.response.writableLength;
 }
 
-/** Gives a caller up that does not read. */
-function dropCaller(exchange: Exchange, limits: AnswerLimits): void {
+/** Aborts a response whose caller does not read it. */
+function abortResponse(exchange: Exchange, limits: ResponseLimits): void {
   const { callerId, response } = exchange;
-  limits.reportCut(callerId, response.writableLength);
+  limits.reportSlowCaller(callerId, response.writableLength);
   response.destroy();
 }
 
 /**
- * Ends an answer that its caller has stopped reading.
+ * Aborts a response that its caller has stopped reading.
  *
- * The bytes it does not read stay in this process. A caller that opens many
- * streams and reads none would otherwise take all its memory.
+ * Unread bytes stay in this process. A caller that opens many streams and reads
+ * none of them would otherwise use up all its memory.
  */
-function watchReading(exchange: Exchange, limits: AnswerLimits): void {
+function watchReading(exchange: Exchange, limits: ResponseLimits): void {
   const { response } = exchange;
   if (exchange.stallTimer !== undefined || response.writableLength === 0) {
     return;
@@ -80,7 +80,7 @@
   exchange.stallTimer = setTimeout(() => {
     exchange.stallTimer = undefined;
     if (response.writableLength > 0 && computeSentBytes(exchange) <= sentBefore) {
-      dropCaller(exchange, limits);
+      abortResponse(exchange, limits);
       return;
     }
     watchReading(exchange, limits);
@@ -88,10 +88,10 @@
 }
 
 /**
- * Tells whether the result may follow the body as a trailer.
+ * Whether the result code may follow the body as a trailer.
  *
- * Node.js throws where a trailer is announced for an answer without chunks: to
- * a caller of HTTP/1.0, or an answer without a body.
+ * Node.js throws if a trailer is announced for a response that is not chunked,
+ * that is, one over HTTP/1.0 or one without a body.
  */
 function hasTrailer(exchange: Exchange, status: number): boolean {
   const { request, streamed } = exchange;
@@ -99,67 +99,74 @@
   return streamed && hasBody && request.httpVersion === '1.1';
 }
 
-/** Sends the head; the result of a streamed answer is known at its end only. */
+/** Sends the response head. The result code of a streamed response is known only at its end. */
 function sendHead(exchange: Exchange, effect: EffectOf<'answerHead'>): void {
   const { status, contentType, requestId } = effect;
   exchange.streamed = contentType.startsWith(EVENT_STREAM);
-  exchange.trailing = hasTrailer(exchange, status);
-  const trailer = exchange.trailing ? { trailer: RESULT_HEADER } : {};
+  exchange.sendsTrailer = hasTrailer(exchange, status);
+  const trailer = exchange.sendsTrailer ? { trailer: RESULT_HEADER } : {};
   const result = exchange.streamed ? trailer : { [RESULT_HEADER]: COMPLETED };
   const headers = { 'content-type': contentType, 'x-request-id': requestId, ...result };
   exchange.response.writeHead(status, headers);
 }
 
-/** Sends one part of an answer. */
-function sendData(exchange: Exchange, data: Uint8Array, limits: AnswerLimits): void {
+/** Sends one part of a response. */
+function sendData(exchange: Exchange, data: Uint8Array, limits: ResponseLimits): void {
   const { response } = exchange;
   exchange.writtenBytes += data.length;
   response.write(data);
   if (exchange.streamed && response.writableLength > limits.maxAnswerBufferBytes) {
-    dropCaller(exchange, limits);
+    abortResponse(exchange, limits);
     return;
   }
   watchReading(exchange, limits);
 }
 
-/** Sends the end of a whole answer. */
-function sendEnd(exchange: Exchange, limits: AnswerLimits): void {
+/** Sends the end of a complete response. */
+function sendEnd(exchange: Exchange, limits: ResponseLimits): void {
   const { response } = exchange;
-  if (exchange.trailing) {
+  if (exchange.sendsTrailer) {
     response.addTrailers({ [RESULT_HEADER]: COMPLETED });
   }
   response.end();
   watchReading(exchange, limits);
 }
 
-/** Ends a started answer with an error event and never with the normal end mark. */
-function closeBroken(exchange: Exchange, body: string, limits: AnswerLimits): void {
+/**
+ * Aborts a response that has begun: a stream gets an error event, and the normal
+ * end is never sent.
+ */
+function abortWithError(exchange: Exchange, body: string, limits: ResponseLimits): void {
   const { response, streamed } = exchange;
   const event = streamed ? `event: error\ndata: ${body}\n\n` : '';
-  // Destroyed rather than ended: the missing last chunk tells a client that
-  // the answer is not whole even where it ignores the event. Only once the
-  // event has left, because destroying throws away what is buffered.
+  // The socket is destroyed rather than ended: the missing last chunk tells a
+  // client that the response is truncated, even if it ignores the event. This waits
+  // until the event has been sent, because destroying discards buffered data.
   response.write(event, () => response.destroy());
   watchReading(exchange, limits);
 }
 
-/** Sends a failure, before or after the answer began. */
+/** Sends a failure, whether or not the response has begun. */
 export function sendFailure(
   exchange: Exchange,
-  failure: failureAnswer.Failure,
-  limits: AnswerLimits,
+  failure: failureResponse.Failure,
+  limits: ResponseLimits,
 ): void {
   const { response } = exchange;
-  const answer = failureAnswer.buildFailureAnswer(failure);
+  const answer = failureResponse.buildFailureResponse(failure);
   if (response.headersSent) {
-    closeBroken(exchange, answer.body, limits);
+    abortWithError(exchange, answer.body, limits);
     return;
   }
   response.writeHead(answer.status, answer.headers).end(answer.body);
 }
 
 /** Carries out one effect on a caller's connection. */
-export function applyEffect(exchange: Exchange, effect: CallerEffect, limits: AnswerLimits): void {
+export function applyEffect(
+  exchange: Exchange,
+  effect: CallerEffect,
+  limits: ResponseLimits,
+): void {
   switch (effect.kind) {
     case 'answerHead':
       sendHead(exchange, effect);
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -4,16 +4,16 @@
 import * as core from '@toucanproxy/core';
 import * as runtime from '@toucanproxy/runtime';
 import * as schema from '@toucanproxy/schema';
-import * as callerAnswer from './caller-answer.js';
-import * as failureAnswer from './failure-answer.js';
+import * as callerResponse from './caller-response.js';
+import * as failureResponse from './failure-response.js';
 import * as requestReader from './request-reader.js';
 
 export type CallerServer = {
   port: number;
-  answer: (effect: callerAnswer.CallerEffect) => void;
-  /** Takes no new connection and ends idle ones. */
+  applyEffect: (effect: callerResponse.CallerEffect) => void;
+  /** Stops accepting connections and closes idle ones. */
   stopListening: () => void;
-  /** Calls once every answer has left. */
+  /** Calls `idle` once every response has been sent. */
   notifyIdle: (idle: () => void) => void;
   stop: () => void;
 };
@@ -21,36 +21,39 @@
 export type CallerServerOptions = {
   host: string;
   port: number;
-  limits: schema.EffectiveCallerLimits & callerAnswer.AnswerLimits;
+  limits: schema.EffectiveCallerLimits & callerResponse.ResponseLimits;
   context: requestReader.ReaderContext;
   post: (event: core.EntryEvent) => void;
-  /** Told of requests that are refused before the core sees them. */
+  /** Called for requests that are refused before the core gets them. */
   reportRefusal: (code: schema.ResultCode) => void;
 };
 
 type ServerState = {
   options: CallerServerOptions;
-  exchanges: Map<number, callerAnswer.Exchange>;
-  bySocket: WeakMap<net.Socket, Set<callerAnswer.Exchange>>;
+  exchanges: Map<number, callerResponse.Exchange>;
+  bySocket: WeakMap<net.Socket, Set<callerResponse.Exchange>>;
   connections: Set<net.Socket>;
   /** Connections that were opened beyond the limit. */
-  surplus: WeakSet<net.Socket>;
+  overLimit: WeakSet<net.Socket>;
   nextCallerId: number;
   closing: boolean;
-  idle: (() => void) | undefined;
+  onIdle: (() => void) | undefined;
 };
 
-/** How often slow requests are looked for, milliseconds. */
+/** Maximum interval between checks for slow requests, milliseconds. */
 const MAX_TIMEOUT_CHECK_MS = 1000;
-/** Connections beyond the limit that are still told so, rather than dropped. */
-const SPARE_CONNECTIONS = 64;
+/**
+ * Number of connections beyond the limit that get a response saying so before any
+ * further ones are dropped.
+ */
+const REJECTED_CONNECTIONS = 64;
 
-const { ExchangePhase } = callerAnswer;
+const { ExchangePhase } = callerResponse;
 
-/** Refuses a request that the core has not seen. */
+/** Refuses a request that the core has not received. */
 function refuse(
   state: ServerState,
-  exchange: callerAnswer.Exchange,
+  exchange: callerResponse.Exchange,
   code: schema.ResultCode,
 ): void {
   state.options.reportRefusal(code);
@@ -58,29 +61,29 @@
     return;
   }
   exchange.phase = ExchangePhase.HELD;
-  const failure = failureAnswer.buildRefusal(code);
-  callerAnswer.sendFailure(exchange, failure, state.options.limits);
+  const failure = failureResponse.buildRefusal(code);
+  callerResponse.sendFailure(exchange, failure, state.options.limits);
 }
 
-/** Forgets a request whose answer has left or whose caller has gone. */
-function closeExchange(state: ServerState, exchange: callerAnswer.Exchange): void {
+/** Removes a request whose response has been sent or whose caller has disconnected. */
+function closeExchange(state: ServerState, exchange: callerResponse.Exchange): void {
   const { callerId, request } = exchange;
   clearTimeout(exchange.stallTimer);
   state.exchanges.delete(callerId);
   state.bySocket.get(request.socket)?.delete(exchange);
   state.options.post({ kind: 'callerLeft', callerId });
   if (state.exchanges.size === 0) {
-    state.idle?.();
+    state.onIdle?.();
   }
 }
 
-/** Opens the record of a request. */
+/** Creates and registers the record of a request. */
 function openExchange(
   state: ServerState,
   request: http.IncomingMessage,
   response: http.ServerResponse,
-): callerAnswer.Exchange {
-  const exchange = callerAnswer.makeExchange(state.nextCallerId, request, response);
+): callerResponse.Exchange {
+  const exchange = callerResponse.makeExchange(state.nextCallerId, request, response);
   state.nextCallerId += 1;
   state.exchanges.set(exchange.callerId, exchange);
   const { socket } = request;
@@ -91,10 +94,13 @@
   return exchange;
 }
 
-/** Finds the limit on connections that a new request breaks. */
+/**
+ * Returns the code of the connection limit that a new request exceeds; undefined
+ * if there is none.
+ */
 function findRefusal(
   state: ServerState,
-  exchange: callerAnswer.Exchange,
+  exchange: callerResponse.Exchange,
 ): schema.ResultCode | undefined {
   const { limits } = state.options;
   if (state.closing) {
@@ -102,11 +108,11 @@
   }
   const { socket } = exchange.request;
   const pipelined = state.bySocket.get(socket)?.size ?? 0;
-  const tooMany = state.surplus.has(socket) || pipelined > limits.maxPipelined;
+  const tooMany = state.overLimit.has(socket) || pipelined > limits.maxPipelined;
   return tooMany ? schema.ResultCode.QUEUE_FULL : undefined;
 }
 
-/** Reads one request and hands it to the core, or refuses it. */
+/** Reads one request and passes it to the core, or refuses it. */
 async function handleRequest(
   state: ServerState,
   request: http.IncomingMessage,
@@ -141,17 +147,17 @@
   post({ kind: 'requestArrived', request: read.request });
 }
 
-/** Refuses on a connection on which no request could be read. */
+/** Writes a refusal to a connection on which no request could be read. */
 function writeRefusal(socket: net.Socket, code: schema.ResultCode): void {
-  const answer = failureAnswer.buildFailureAnswer(failureAnswer.buildRefusal(code));
+  const answer = failureResponse.buildFailureResponse(failureResponse.buildRefusal(code));
   runtime.writeErrorResponse(socket, answer);
 }
 
 /**
- * Answers a connection on which the parser gave up or the time ran out.
+ * Responds on a connection on which parsing failed or a timeout expired.
  *
- * Answers to earlier requests of the connection leave first: written over them,
- * the refusal would end up in the middle of another answer.
+ * Responses to earlier requests of the connection are sent first. Otherwise the
+ * refusal would end up in the middle of another response.
  */
 function handleClientError(state: ServerState, error: Error, socket: net.Socket): void {
   const code = runtime.toResultCode(error);
@@ -187,7 +193,7 @@
     requestTimeout: limits.bodyTimeoutMs,
     connectionsCheckingInterval: Math.min(MAX_TIMEOUT_CHECK_MS, headersTimeout),
   });
-  server.maxConnections = limits.maxConnections + SPARE_CONNECTIONS;
+  server.maxConnections = limits.maxConnections + REJECTED_CONNECTIONS;
   const listen =
     (expectsContinue: boolean): http.RequestListener =>
     (request, response) => {
@@ -206,37 +212,37 @@
   return server;
 }
 
-/** Counts a connection, and marks it where it is one too many. */
+/** Counts a connection, and marks it if it exceeds the limit. */
 function openConnection(state: ServerState, socket: net.Socket): void {
   state.connections.add(socket);
   socket.on('close', () => state.connections.delete(socket));
   if (state.connections.size > state.options.limits.maxConnections) {
-    state.surplus.add(socket);
+    state.overLimit.add(socket);
   }
 }
 
-/** Carries out one effect on a caller that is still there. */
-function answerCaller(state: ServerState, effect: callerAnswer.CallerEffect): void {
+/** Carries out one effect if the caller is still connected. */
+function applyCallerEffect(state: ServerState, effect: callerResponse.CallerEffect): void {
   const exchange = state.exchanges.get(effect.callerId);
   if (exchange === undefined || exchange.response.destroyed) {
     return;
   }
   try {
-    callerAnswer.applyEffect(exchange, effect, state.options.limits);
+    callerResponse.applyEffect(exchange, effect, state.options.limits);
   } catch {
-    // An answer that HTTP cannot carry ends its own connection. Thrown further,
-    // it would stop the task that serves every other caller.
+    // A response that HTTP cannot carry closes only its own connection. If the error
+    // propagated, it would stop the task that serves all other callers.
     exchange.response.destroy();
   }
 }
 
 /**
- * Asks for each connection to be closed after the last answer in hand on it.
+ * Asks for each connection to be closed after its last response in flight.
  *
- * The last one only: a connection closes after the first answer that says so,
- * and answers behind it would be lost.
+ * Only the last response may carry the header, because the connection closes
+ * after the first one that does, and later responses would be lost.
  */
-function closeAfterAnswers(state: ServerState): void {
+function closeAfterResponses(state: ServerState): void {
   const exchanges = [...state.exchanges.values()];
   const lastBySocket = new Map(exchanges.map((exchange) => [exchange.request.socket, exchange]));
   lastBySocket.forEach(({ response }) => {
@@ -246,17 +252,17 @@
   });
 }
 
-/** Starts to listen. */
+/** Starts to listen for callers. */
 export async function startCallerServer(options: CallerServerOptions): Promise<CallerServer> {
   const state: ServerState = {
     options,
     exchanges: new Map(),
     bySocket: new WeakMap(),
     connections: new Set(),
-    surplus: new WeakSet(),
+    overLimit: new WeakSet(),
     nextCallerId: 1,
     closing: false,
-    idle: undefined,
+    onIdle: undefined,
   };
   const server = createServer(state);
   await new Promise<void>((resolve, reject) => {
@@ -265,15 +271,15 @@
   });
   return {
     port: (server.address() as net.AddressInfo).port,
-    answer: (effect) => answerCaller(state, effect),
+    applyEffect: (effect) => applyCallerEffect(state, effect),
     stopListening: () => {
       state.closing = true;
       server.close();
       server.closeIdleConnections();
-      closeAfterAnswers(state);
+      closeAfterResponses(state);
     },
     notifyIdle: (idle) => {
-      state.idle = idle;
+      state.onIdle = idle;
       if (state.exchanges.size === 0) {
         idle();
       }
