--- a/packages/core/src/scheduler/server-health.ts
+++ b/packages/core/src/scheduler/server-health.ts
@@ -93,7 +93,7 @@
 }
 
 /**
- * Pauses a backend server that could not be reached or did not take a request.
+ * Pauses a backend server that could not be reached or refused a request.
  *
  * Without the pause every waiting request would be sent to it in turn, because an idle backend
  * server looks like the best choice.
--- a/packages/core/src/shared/backend-server-entry.ts
+++ b/packages/core/src/shared/backend-server-entry.ts
@@ -9,7 +9,7 @@
   failureDomain: string;
   /** Requests that it processes concurrently. */
   slots: number;
-  /** Accepts no new requests because it is shutting down. */
+  /** It is leaving the service and accepts no new requests. */
   leaving: boolean;
   /** When this incarnation started, milliseconds since the Unix epoch; 0 if unknown. */
   bornMs: number;
