--- a/packages/core/src/entry/candidates.ts
+++ b/packages/core/src/entry/candidates.ts
@@ -1,12 +1,12 @@
-/** The agents that a request may go to, as this entry sees them. */
+/** The agents that a request may be placed on, as this entry sees them. */
 import * as rendezvous from '../shared/rendezvous.js';
 import * as agentHealth from './agent-health.js';
 import * as durationModel from './duration-model.js';
 import * as entryState from './entry-state.js';
 import * as placement from './placement.js';
-import * as prefixMemory from './prefix-memory.js';
+import * as prefixLocations from './prefix-locations.js';
 
-/** Rough length of a token in bytes of text. */
+/** Approximate length of a token, bytes of text. */
 const BYTES_PER_TOKEN = 4;
 
 /** Lists the agents of a service with an open link. */
@@ -17,20 +17,23 @@
     .filter((agent) => agent.linked);
 }
 
-/** Tells whether an agent may be given new work. */
+/** Whether an agent may get new work. */
 export function isUsable(agent: entryState.AgentView): boolean {
   return agent.linked && agent.kept && !agent.leaving;
 }
 
-/** Lists the agents of a service that may be given new work; ejected ones only where all are. */
+/**
+ * Lists the agents of a service that may get new work. Ejected ones are included
+ * only if all are ejected.
+ */
 export function listUsable(
   state: entryState.EntryState,
   service: string,
   now: number,
 ): entryState.AgentView[] {
   const usable = listLinked(state, service).filter(isUsable);
-  const sound = usable.filter((agent) => !agentHealth.isEjected(agent.health, now));
-  return sound.length > 0 ? sound : usable;
+  const healthy = usable.filter((agent) => !agentHealth.isEjected(agent.health, now));
+  return healthy.length > 0 ? healthy : usable;
 }
 
 /** Lists the health of the linked agents of a service. */
@@ -41,7 +44,10 @@
   return listLinked(state, service).map((agent) => agent.health);
 }
 
-/** Finds where a prefix goes that nobody remembers, the same on every entry. */
+/**
+ * Returns the backend server that gets a prefix of unknown location. The choice
+ * is the same on every entry.
+ */
 function findPreferred(
   request: entryState.EntryRequest,
   agents: readonly entryState.AgentView[],
@@ -54,7 +60,7 @@
   return rendezvous.rankByRendezvous(`${request.workspace}/${firstHash}`, ids)[0] ?? '';
 }
 
-/** Describes agents for a choice. */
+/** Describes agents as candidates for placement. */
 export function listCandidates(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -63,18 +69,18 @@
 ): placement.Candidate[] {
   const { service, prefixHashes, payload, estimatedTokens } = request.arrived;
   const { prefixes, durations } = entryState.getService(state, service);
-  const match = prefixMemory.findPrefix(prefixes, request.workspace, prefixHashes, now);
+  const match = prefixLocations.findPrefix(prefixes, request.workspace, prefixHashes, now);
   const preferred = findPreferred(request, agents);
   const peers = listPeerHealth(state, service);
   const { COMPLETION } = agentHealth.Stage;
-  const median = agentHealth.findMedianPace(peers, COMPLETION);
-  const usualMs = durationModel.getDuration(
+  const median = agentHealth.findMedianRatio(peers, COMPLETION);
+  const expectedMs = durationModel.estimateDuration(
     durations,
     COMPLETION,
     request.className,
     estimatedTokens,
   );
-  const paceMs = usualMs / Math.max(estimatedTokens, 1);
+  const msPerToken = expectedMs / Math.max(estimatedTokens, 1);
   return agents.map((agent) => {
     const { load, backendServerId } = agent;
     const promptTokens = payload.length / BYTES_PER_TOKEN;
@@ -87,7 +93,7 @@
       queuedTokens: load?.queuedTokens ?? 0,
       tokensPerSecond: load?.tokensPerSecond ?? 0,
       cachedTokens: Math.min(known, promptTokens),
-      paceMs: paceMs * agentHealth.estimateRatio(agent.health, median, now),
+      msPerToken: msPerToken * agentHealth.estimateRatio(agent.health, median, now),
       trafficShare: agentHealth.computeTrafficShare(agent.health, now),
       preferred: backendServerId === preferred,
     };
--- a/packages/core/src/entry/grants.ts
+++ b/packages/core/src/entry/grants.ts
@@ -1,20 +1,20 @@
-/** Late binding: what agents say of the places they were asked for. */
+/** Late binding: handles agents' grants and refusals of slots. */
 import * as schema from '@toucanproxy/schema';
 import * as effect from '../shared/effect.js';
 import * as agentHealth from './agent-health.js';
-import * as asking from './asking.js';
+import * as assignment from './assignment.js';
 import * as candidates from './candidates.js';
 import * as dispatch from './dispatch.js';
 import * as entryEvent from './entry-event.js';
 import * as entryState from './entry-state.js';
-import * as reservationBook from './reservation-book.js';
+import * as reservations from './reservations.js';
 
 type Effects = entryEvent.EntryEffect[];
 
-/** Refusals for want of room in the agent's queue. */
+/** Refusals because the agent's queue is full. */
 const FULL_CODES = new Set([schema.ResultCode.QUEUE_FULL, schema.ResultCode.EVICTED]);
 
-/** Finds a request that waits and is not in the pause before a repeat. */
+/** Returns a request that is waiting and not in backoff before a retry. */
 function findWaiting(
   state: entryState.EntryState,
   requestId: string,
@@ -25,7 +25,7 @@
   return waits ? request : undefined;
 }
 
-/** Tells whether a granted place should go unused. */
+/** Whether a granted slot should be released unused. */
 function isUnwanted(
   request: entryState.EntryRequest,
   agent: entryState.AgentView,
@@ -35,23 +35,23 @@
   return !candidates.isUsable(agent) || (others && agentHealth.isEjected(agent.health, now));
 }
 
-/** Takes a reservation as refused and asks further agents where none is left. */
-function handleNoPlace(
+/** Records a refused slot, and asks further agents where needed. */
+function handleSlotRefused(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   backendServerId: string,
   now: number,
 ): Effects {
-  reservationBook.removeReservation(state, request, backendServerId);
+  reservations.removeReservation(state, request, backendServerId);
   request.refusedBy.add(backendServerId);
   return dispatch.place(state, request, now);
 }
 
 /**
- * Hands a request to the first agent that has a place for it.
+ * Assigns a request to the first agent that grants a slot.
  *
- * A grant may come late: its request may be with another agent or have ended.
- * The place is given back then; only an offer can start anything.
+ * A grant may arrive late, when its request is at another agent or has ended. Its
+ * slot is released then. Only an offer can start an attempt.
  */
 export function handleGrant(
   state: entryState.EntryState,
@@ -62,12 +62,12 @@
   const agent = state.agents.get(backendServerId);
   const request = findWaiting(state, grant.requestId, now);
   if (agent === undefined || request === undefined) {
-    return [reservationBook.sendRelease(backendServerId, grant.requestId)];
+    return [reservations.sendRelease(backendServerId, grant.requestId)];
   }
   if (isUnwanted(request, agent, now)) {
     return [
-      reservationBook.sendRelease(backendServerId, grant.requestId),
-      ...handleNoPlace(state, request, backendServerId, now),
+      reservations.sendRelease(backendServerId, grant.requestId),
+      ...handleSlotRefused(state, request, backendServerId, now),
     ];
   }
   const line = effect.logDecision('placement', {
@@ -79,11 +79,11 @@
     chosen: [backendServerId],
     waitedMs: now - request.arrivedMs,
   });
-  return [line, ...asking.giveTo(state, request, agent, now)];
+  return [line, ...assignment.assignTo(state, request, agent, now)];
 }
 
-/** Notes that an agent has no room for a tier, until its next report. */
-function noteFull(
+/** Records that an agent has no room for a tier until its next report. */
+function markFull(
   state: entryState.EntryState,
   agent: entryState.AgentView,
   tierRank: number,
@@ -106,16 +106,16 @@
     return [effect.observe({ kind: 'dropped', reason: effect.DropReason.UNKNOWN_REQUEST })];
   }
   if (refused.code === schema.ResultCode.DEADLINE_UNREACHABLE) {
-    request.unreachableBy.add(backendServerId);
+    request.deadlineRefusedBy.add(backendServerId);
   }
   const agent = state.agents.get(backendServerId);
   if (agent !== undefined && FULL_CODES.has(refused.code)) {
-    noteFull(state, agent, request.tierRank);
+    markFull(state, agent, request.tierRank);
   }
   const line = effect.logDecision('reserve-refused', {
     request: request.requestId,
     backendServer: backendServerId,
     result: schema.ResultCode[refused.code],
   });
-  return [line, ...handleNoPlace(state, request, backendServerId, now)];
+  return [line, ...handleSlotRefused(state, request, backendServerId, now)];
 }
--- a/packages/core/src/entry/handle-entry-event.ts
+++ b/packages/core/src/entry/handle-entry-event.ts
@@ -1,13 +1,13 @@
-/** The entry's decisions: one event in, the effects it calls for out. */
+/** Applies an event to the entry's state and returns the resulting effects. */
 import * as schema from '@toucanproxy/schema';
 import * as documentIndex from '../shared/document-index.js';
 import * as documentStore from '../shared/document-store.js';
 import * as effect from '../shared/effect.js';
-import * as accounts from './accounts.js';
+import * as requestAccounting from './request-accounting.js';
 import * as suspects from '../shared/suspects.js';
 import * as admission from './admission.js';
 import * as agentLinks from './agent-links.js';
-import * as answerFlow from './answer-flow.js';
+import * as attemptReports from './attempt-reports.js';
 import * as deadlines from './deadlines.js';
 import * as dispatch from './dispatch.js';
 import * as entryEvent from './entry-event.js';
@@ -22,7 +22,7 @@
 type Effects = entryEvent.EntryEffect[];
 type EventOf<K extends entryEvent.EntryEvent['kind']> = Extract<entryEvent.EntryEvent, { kind: K }>;
 
-/** Takes in a request, or rejects it at once. */
+/** Admits a request, or rejects it immediately. */
 function handleArrival(
   state: entryState.EntryState,
   event: EventOf<'requestArrived'>,
@@ -41,17 +41,17 @@
   }
   const { request } = decision;
   if (decision.kind === 'closing') {
-    accounts.addRequest(state, request, now);
+    requestAccounting.addRequest(state, request, now);
     return outcomes.fail(state, request, decision.failure, now);
   }
   return dispatch.placeNew(state, request, now);
 }
 
 /**
- * Tells whether a message is a sign of room at its agent. A refusal is none: a
- * request that waits would be sent again at once, and be refused again.
+ * Whether a message shows that its agent has room. A refusal does not: a waiting
+ * request would immediately be sent again, and be refused again.
  */
-function isSignOfRoom({ body }: schema.AgentMessage): boolean {
+function isCapacityFreed({ body }: schema.AgentMessage): boolean {
   switch (body.case) {
     case 'failed':
       return true;
@@ -64,7 +64,7 @@
   }
 }
 
-/** Takes a message of an agent. */
+/** Handles a message of an agent, and retries waiting requests if the agent has room. */
 function handleAgentMessage(
   state: entryState.EntryState,
   event: EventOf<'agentMessage'>,
@@ -72,12 +72,12 @@
 ): Effects {
   const effects = routeAgentMessage(state, event, now);
   const view = state.agents.get(event.backendServerId);
-  return isSignOfRoom(event.message) && view !== undefined
+  return isCapacityFreed(event.message) && view !== undefined
     ? [...effects, ...parking.retryParked(state, view, now, 1)]
     : effects;
 }
 
-/** Routes one message of an agent to its decision. */
+/** Dispatches one message of an agent to its handler. */
 function routeAgentMessage(
   state: entryState.EntryState,
   event: EventOf<'agentMessage'>,
@@ -87,7 +87,7 @@
   const { body } = event.message;
   const view = state.agents.get(id);
   if (view !== undefined) {
-    view.lastHeardMs = now;
+    view.lastReceivedMs = now;
   }
   switch (body.case) {
     case 'hello':
@@ -95,13 +95,13 @@
     case 'heartbeat':
       return agentLinks.handleHeartbeat(state, id, body.value, now);
     case 'part':
-      return answerFlow.takePart(state, id, body.value, now);
+      return attemptReports.handlePart(state, id, body.value, now);
     case 'started':
-      return answerFlow.handleStarted(state, id, body.value, now);
+      return attemptReports.handleStarted(state, id, body.value, now);
     case 'notRun':
-      return answerFlow.handleNotRun(state, id, body.value, now);
+      return attemptReports.handleNotRun(state, id, body.value, now);
     case 'failed':
-      return answerFlow.handleRunFailed(state, id, body.value, now);
+      return attemptReports.handleRunFailed(state, id, body.value, now);
     case 'grant':
       return grants.handleGrant(state, id, body.value, now);
     case 'reserveRefused':
@@ -117,7 +117,7 @@
   }
 }
 
-/** Takes a newer document into force. */
+/** Activates a document that is newer than the active one. */
 function applyDocument(
   state: entryState.EntryState,
   event: EventOf<'documentRead'>,
@@ -149,7 +149,7 @@
   return [{ kind: 'stopped' }];
 }
 
-/** Does what is due by time alone. */
+/** Performs what is due by time. */
 function handleTick(state: entryState.EntryState, now: number): Effects {
   suspects.expireSuspects(state.suspects, now);
   return [
@@ -161,21 +161,21 @@
   ];
 }
 
-/** What is done for a request after the event that called for it. */
-const FOLLOW_UPS = {
+/** Handlers of the follow-ups. */
+const FOLLOW_UP_HANDLERS = {
   place: dispatch.placeAgain,
   ask: dispatch.askAgain,
   close: keyClaims.startClose,
 };
 
-/** Does what the present event has left to do for single requests. */
+/** Applies the follow-ups of the current event. */
 function applyFollowUps(state: entryState.EntryState, now: number): Effects {
   const effects: Effects = [];
   let next = state.followUps.shift();
   while (next !== undefined) {
     const request = state.requests.get(next.requestId);
     if (request !== undefined) {
-      effects.push(...FOLLOW_UPS[next.kind](state, request, now));
+      effects.push(...FOLLOW_UP_HANDLERS[next.kind](state, request, now));
     }
     next = state.followUps.shift();
   }
@@ -185,7 +185,7 @@
 /**
  * Applies one event to the entry's state.
  *
- * @param now present time, milliseconds since the Unix epoch
+ * @param now current time, milliseconds since the Unix epoch
  */
 export function handleEntryEvent(
   state: entryState.EntryState,
@@ -196,7 +196,7 @@
   return [...effects, ...applyFollowUps(state, now)];
 }
 
-/** Routes one event to its decision. */
+/** Dispatches one event to its handler. */
 function routeEvent(
   state: entryState.EntryState,
   event: entryEvent.EntryEvent,
@@ -216,7 +216,7 @@
     case 'documentRead':
       return applyDocument(state, event, now);
     case 'vmsLeaving':
-      membership.markListed(state, event.addresses);
+      membership.applyLeavingList(state, event.addresses);
       return [];
     case 'ticked':
       return handleTick(state, now);
