--- a/packages/core/src/entry/admission.test.ts
+++ b/packages/core/src/entry/admission.test.ts
@@ -93,7 +93,7 @@
   assert.equal(entryFixture.findFailure(fixture, caller)?.runState, RunState.MAY_HAVE_RUN);
 });
 
-nodeTest.test('costs are learned from answers', () => {
+nodeTest.test('costs are learned from responses', () => {
   const fixture = entryFixture.createFixture({ agents: ['a'] });
   const payload = new Uint8Array(400);
   for (let count = 0; count < 3; count += 1) {
--- a/packages/core/src/entry/admission.ts
+++ b/packages/core/src/entry/admission.ts
@@ -10,8 +10,8 @@
 import * as serviceState from './service-state.js';
 
 /**
- * Retry-after for callers that reach a limit of this entry, milliseconds. Callers
- * receive it in whole seconds.
+ * Retry-after for callers whose requests this entry cannot admit now,
+ * milliseconds. Callers receive it in whole seconds.
  */
 const FULL_RETRY_AFTER_MS = 1000;
 
@@ -136,9 +136,9 @@
 }
 
 /**
- * Returns the failure of a key that cannot be used. A key issued ahead of the
- * clocks could be bound by one incarnation of its home, and the next incarnation
- * would take it for a new key.
+ * Returns why a key cannot be used; undefined if it can. A key issued ahead of
+ * the clocks could be bound by one incarnation of its home, and the next
+ * incarnation would take it for a new key.
  */
 function findKeyFault(
   state: entryState.EntryState,
--- a/packages/core/src/entry/agent-links.test.ts
+++ b/packages/core/src/entry/agent-links.test.ts
@@ -4,7 +4,7 @@
 import * as smallFleet from '../mocks/small-fleet.js';
 
 /** Longer than the heartbeat timeout after which links are closed, milliseconds. */
-const SILENCE_MS = 3000;
+const LINK_TIMEOUT_MS = 3000;
 
 /** Returns the view that entry e1 has of an agent. */
 function getView(fleet: smallFleet.SmallFleet, agentId: string) {
@@ -21,11 +21,11 @@
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
   fleet.isPartitioned = true;
   smallFleet.completeRun(fleet, 0);
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   assert.equal(getView(fleet, 'a').linked, false);
   assert.equal(fleet.agents.get('a')?.links.size, 0);
   fleet.isPartitioned = false;
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   assert.equal(smallFleet.formatOutcome(fleet, 1), 'answer 0');
   assert.equal(fleet.dispatched.length, 1);
 });
@@ -40,7 +40,7 @@
   const view = getView(fleet, 'a');
   assert.equal(view.linked, false);
   assert.equal(view.address, 'elsewhere');
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   assert.equal(getView(fleet, 'a').linked, true);
 });
 
@@ -55,7 +55,7 @@
   smallFleet.startAgent(fleet, 'a', 'a-life-2');
   const stored = smallFleet.buildDocument(['a']);
   smallFleet.applyToAgent(fleet, 'a', { kind: 'documentRead', stored });
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   assert.equal(getView(fleet, 'a').leaving, false);
   smallFleet.sendCall(fleet, 'e1', 1, { key: '' });
@@ -67,11 +67,11 @@
   // taken to refer to the first incarnation that connects.
   const fleet = smallFleet.createSmallFleet(['e1'], ['a']);
   fleet.isPartitioned = true;
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   getView(fleet, 'a').agentLife = '';
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   fleet.isPartitioned = false;
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'vmsLeaving', addresses: ['a'] });
   assert.equal(getView(fleet, 'a').leaving, true);
 });
@@ -86,14 +86,14 @@
   entry.linksPerService = 1;
   const stored = smallFleet.buildDocument(['a', 'b'], { version: 2 });
   smallFleet.applyToEntry(fleet, 'e1', { kind: 'documentRead', stored });
-  smallFleet.advanceTime(fleet, SILENCE_MS);
+  smallFleet.advanceTime(fleet, LINK_TIMEOUT_MS);
   const other = views.find((view) => !view.kept);
   assert.equal(other?.linked, false);
   const keys = Array.from({ length: 20 }, (_, serial) => smallFleet.buildKey(fleet.now, serial));
   keys.forEach((key, index) => smallFleet.sendCall(fleet, 'e1', index, { key }));
   assert.equal(other?.linked, true);
   assert.ok(fleet.dispatched.every((line) => line.agentId !== other.backendServerId));
-  smallFleet.advanceTime(fleet, 2 * SILENCE_MS);
+  smallFleet.advanceTime(fleet, 2 * LINK_TIMEOUT_MS);
   assert.equal(other.linked, false);
 });
 
--- a/packages/core/src/entry/agent-links.ts
+++ b/packages/core/src/entry/agent-links.ts
@@ -166,8 +166,8 @@
  * longer needed.
  *
  * A middlebox may have dropped a connection that both ends consider open. The
- * agent keeps every response until it is acknowledged, so closing the link and
- * resuming over a new one repeats no run.
+ * agent keeps every response until it is acknowledged, so the entry can close the
+ * link and resume over a new one without repeating any run.
  */
 export function sendDueHeartbeats(state: entryState.EntryState, now: number): Effects {
   return [...state.agents.values()].flatMap((view): Effects => {
--- a/packages/core/src/entry/attempt-reports.ts
+++ b/packages/core/src/entry/attempt-reports.ts
@@ -177,8 +177,8 @@
     request.deadlineRefusedBy.add(target.backendServerId);
   }
   const service = requestAccounting.getRequestService(state, request);
-  // The request was withdrawn to make room for others, so it must not be placed
-  // again.
+  // The request was withdrawn to make room, and the slot that it leaves is meant
+  // for others, so it is shed unless a less urgent request can be.
   const isShedVictim =
     service.withdrawnIds.has(request.requestId) &&
     !requestAccounting.hasLessUrgent(service, request.tierRank);
--- a/packages/core/src/entry/cost-model.ts
+++ b/packages/core/src/entry/cost-model.ts
@@ -40,9 +40,9 @@
   if (average === undefined || average.samples < MIN_SAMPLES) {
     return fallback;
   }
-  const answer =
+  const responseTokens =
     maxAnswerTokens > 0 ? Math.min(average.answerTokens, maxAnswerTokens) : average.answerTokens;
-  return Math.ceil(promptBytes / BYTES_PER_TOKEN + answer);
+  return Math.ceil(promptBytes / BYTES_PER_TOKEN + responseTokens);
 }
 
 /** Counts the blank lines in a chunk of an event stream; each one ends an event. */
--- a/packages/core/src/entry/dispatch.ts
+++ b/packages/core/src/entry/dispatch.ts
@@ -73,7 +73,7 @@
 }
 
 /** Asks agents for a slot. If some have already been asked, one more is asked. */
-function reservePlaces(
+function reserveSlots(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
   eligible: readonly entryState.AgentView[],
@@ -122,7 +122,7 @@
   );
   return strategy.kind === 'push'
     ? pushRequest(state, request, eligible, strategy, now)
-    : reservePlaces(state, request, parking.listWithRoom(state, eligible, request), strategy, now);
+    : reserveSlots(state, request, parking.listWithRoom(state, eligible, request), strategy, now);
 }
 
 /** Adds a new request and places it, after load shedding has made room. */
@@ -151,7 +151,7 @@
   return waits ? place(state, request, now) : [];
 }
 
-/** Returns a request that was not run to waiting, and tries other agents. */
+/** Puts a request that was not run back to waiting, and tries other agents. */
 export function placeAgain(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
@@ -173,7 +173,7 @@
   );
 }
 
-/** Returns a request to waiting, without its last attempt. */
+/** Puts a request back to waiting, without its last attempt. */
 export function resetToWaiting(
   state: entryState.EntryState,
   request: entryState.EntryRequest,
--- a/packages/core/src/entry/entry-state.ts
+++ b/packages/core/src/entry/entry-state.ts
@@ -123,6 +123,7 @@
   /** The link is open and the agent has sent its hello. */
   linked: boolean;
   opening: boolean;
+  /** Identifier of the agent's last known incarnation; empty before its first hello. */
   agentLife: string;
   lifeBeganMs: number;
   /** The agent gets no new work, for at least one of the three reasons below. */
@@ -137,8 +138,8 @@
    */
   listedLeaving: boolean;
   /**
-   * The agent incarnation when the list first named the VM; undefined while the
-   * list does not name it.
+   * The agent's incarnation at the time when the list first named the VM; undefined
+   * while the list does not name it.
    */
   listedLife: string | undefined;
   lastReceivedMs: number;
@@ -198,6 +199,7 @@
 
 export type EntryIdentity = {
   entryId: string;
+  /** Identifier of this incarnation of the entry, that is, of its process. */
   life: string;
   failureDomain: string;
   /** Number of links that are kept for each service; a default applies where it is absent or 0. */
--- a/packages/core/src/entry/held-attempts.ts
+++ b/packages/core/src/entry/held-attempts.ts
@@ -6,6 +6,7 @@
 import * as attemptRef from '../shared/attempt-ref.js';
 import type * as entryState from './entry-state.js';
 
+/** A request of this entry and the attempt that it waits for. */
 export type HeldAttempt = { request: entryState.EntryRequest; target: entryState.Target };
 
 /** Lists the requests whose current attempt on this agent is the referenced one. */
--- a/packages/core/src/entry/key-claims.ts
+++ b/packages/core/src/entry/key-claims.ts
@@ -23,7 +23,10 @@
 
 /** How long one home may take to answer, including the opening of its link, milliseconds. */
 const CLAIM_TIMEOUT_MS = 1000;
-/** Maximum number of claims of one request. Two entries can keep undoing each other's attempts. */
+/**
+ * Maximum number of claims of one request. It ends the case where two entries
+ * keep undoing each other's attempts.
+ */
 const MAX_CLAIM_ROUNDS = 8;
 /** Retry-after for a caller whose key could not be decided, milliseconds. */
 const UNDECIDED_RETRY_AFTER_MS = 2000;
@@ -121,7 +124,7 @@
   return [...released, ...startClaim(state, request, keyClaim.ClaimPurpose.CLOSE, noAgent, now)];
 }
 
-/** Returns a request to waiting for a slot. */
+/** Puts a request back to waiting for a slot. */
 function placeAgain(state: entryState.EntryState, request: entryState.EntryRequest): Effects {
   const released = dropClaim(request);
   state.claiming.delete(request.requestId);
--- a/packages/core/src/entry/key-joins.ts
+++ b/packages/core/src/entry/key-joins.ts
@@ -22,7 +22,7 @@
 /** A join that waits until the bound attempt has had time to be offered. */
 export type PendingJoin = { target: entryState.Target; dueMs: number };
 
-/** Reads the attempt to join from a home's reply; undefined if its agent is unknown. */
+/** Reads the attempt to join from a home's reply; undefined if the reply names no known agent. */
 export function parseJoin(
   state: entryState.EntryState,
   reply: schema.ClaimReply,
--- a/packages/core/src/entry/link-selection.test.ts
+++ b/packages/core/src/entry/link-selection.test.ts
@@ -46,11 +46,11 @@
   });
 });
 
-nodeTest.test('links outside the own domain', () => {
+nodeTest.test('links outside the failure domain of the entry', () => {
   const agents = buildAgents(600);
   const chosen = linkSelection.selectLinks('entry-1', 'domain-1', agents, 16);
-  const far = chosen.filter((id) => Number(id.split('-')[1]) % DOMAINS.length !== 1);
-  assert.equal(far.length, 4);
+  const remote = chosen.filter((id) => Number(id.split('-')[1]) % DOMAINS.length !== 1);
+  assert.equal(remote.length, 4);
   const alone = linkSelection.selectLinks('entry-1', 'elsewhere', agents, 16);
   assert.equal(alone.length, 16);
 });
--- a/packages/core/src/entry/placement.test.ts
+++ b/packages/core/src/entry/placement.test.ts
@@ -39,7 +39,7 @@
   assert.equal(placement.chooseLeastOutstanding(candidates, CONTEXT).backendServerId, 'c');
 });
 
-nodeTest.test('the least delay is asked, slow and returning ones last', () => {
+nodeTest.test('candidates are asked by delay, slow and returning ones last', () => {
   const candidates = [
     makeCandidate('slow', { msPerToken: 3, queued: 1 }),
     makeCandidate('back', { trafficShare: 0.1, queued: 1 }),
@@ -89,7 +89,7 @@
   assert.equal(entryFixture.listAsked(fixture, other).length, 3);
 });
 
-nodeTest.test('entries that do not know a prefix meet at one backend server', () => {
+nodeTest.test('entries choose the same backend server for an unknown prefix', () => {
   const agents = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
   const asked = [1, 2, 3, 4].map(() => {
     const fixture = entryFixture.createFixture({ agents, busy: true });
--- a/packages/core/src/entry/placement.ts
+++ b/packages/core/src/entry/placement.ts
@@ -67,30 +67,30 @@
 const MIN_AFFINITY_WAIT_MS = 20;
 
 /** Returns the measured or assumed throughput, tokens per second. */
-function getSpeed(candidate: Candidate): number {
+function getThroughput(candidate: Candidate): number {
   return candidate.tokensPerSecond || ASSUMED_TOKENS_PER_SECOND;
 }
 
 /** Estimates how long a candidate needs for the requests of this entry, seconds. */
 function estimateOwnDelay(candidate: Candidate): number {
-  return candidate.outstandingTokens / getSpeed(candidate);
+  return candidate.outstandingTokens / getThroughput(candidate);
 }
 
 /**
  * Estimates how long a candidate would take to complete a request, milliseconds.
  *
- * The entry's own work there is known exactly, the rest of the queue only by the
- * last report. The request waits for both.
+ * The tokens of this entry's own requests there are current, those of the whole
+ * queue are as of the last report. The request waits for both.
  */
 export function estimateDelay(candidate: Candidate, estimatedTokens: number): number {
   const ahead = candidate.outstandingTokens + candidate.queuedTokens;
-  const aheadMs = (ahead / getSpeed(candidate)) * MS_PER_SECOND;
-  const own = Math.max(estimatedTokens - candidate.cachedTokens, 0);
-  const ownMs =
+  const aheadMs = (ahead / getThroughput(candidate)) * MS_PER_SECOND;
+  const uncachedTokens = Math.max(estimatedTokens - candidate.cachedTokens, 0);
+  const requestMs =
     candidate.msPerToken > 0
-      ? own * candidate.msPerToken
-      : (own / getSpeed(candidate)) * MS_PER_SECOND;
-  return (aheadMs + ownMs) / candidate.trafficShare;
+      ? uncachedTokens * candidate.msPerToken
+      : (uncachedTokens / getThroughput(candidate)) * MS_PER_SECOND;
+  return (aheadMs + requestMs) / candidate.trafficShare;
 }
 
 /** Picks one of the candidates with the lowest estimate. */
@@ -168,7 +168,7 @@
   const sorted = sortByDelay(candidates, context);
   const [best] = sorted;
   if (best !== undefined && best.cachedTokens > 0) {
-    const savedMs = (best.cachedTokens / getSpeed(best)) * MS_PER_SECOND;
+    const savedMs = (best.cachedTokens / getThroughput(best)) * MS_PER_SECOND;
     const waitMs = Math.min(Math.max(savedMs, MIN_AFFINITY_WAIT_MS), ASK_MORE_MS);
     return { asked: [best], waitMs };
   }
--- a/packages/entry/src/app.ts
+++ b/packages/entry/src/app.ts
@@ -72,10 +72,7 @@
   };
 }
 
-/**
- * Creates the state of a new incarnation of this entry; in code and logs, an
- * incarnation is a life.
- */
+/** Creates the state of a new incarnation of this entry (`life` in code and logs). */
 function createState(settings: schema.EntrySettings): core.EntryState {
   const { entryId, failureDomain, services } = settings;
   const linksPerService = settings.linksPerService || core.computeLinksPerService(services.length);
--- a/packages/entry/src/caller-authorization.ts
+++ b/packages/entry/src/caller-authorization.ts
@@ -22,7 +22,7 @@
   return findCredential(documents.get(service)?.document, tokenSha256)?.workspace ?? '';
 }
 
-/** Rejects a caller whose token no known document grants. */
+/** Rejects a caller whose token is in none of the documents concerned. */
 function rejectUnknown(
   documents: core.DocumentStore,
   services: readonly string[],
--- a/packages/entry/src/caller-bytes.test.ts
+++ b/packages/entry/src/caller-bytes.test.ts
@@ -91,8 +91,8 @@
   await fastCheck.assert(
     fastCheck.asyncProperty(pieces, disconnects, async (list, disconnect) => {
       await sendAndDisconnect(server.port, list.join(''), disconnect);
-      const answer = await sendAndDisconnect(server.port, GOOD, Disconnect.END);
-      assert.match(answer, /^HTTP\/1.1 401 [^]*"code":103/);
+      const response = await sendAndDisconnect(server.port, GOOD, Disconnect.END);
+      assert.match(response, /^HTTP\/1.1 401 [^]*"code":103/);
     }),
     { seed: SEED, numRuns: RUNS },
   );
--- a/packages/entry/src/caller-response.ts
+++ b/packages/entry/src/caller-response.ts
@@ -58,8 +58,8 @@
   return exchange.writtenBytes - exchange.response.writableLength;
 }
 
-/** Aborts a response whose caller does not read it. */
-function abortResponse(exchange: Exchange, limits: ResponseLimits): void {
+/** Aborts a response whose caller does not read it, and reports the caller. */
+function abortSlowResponse(exchange: Exchange, limits: ResponseLimits): void {
   const { callerId, response } = exchange;
   limits.reportSlowCaller(callerId, response.writableLength);
   response.destroy();
@@ -80,7 +80,7 @@
   exchange.stallTimer = setTimeout(() => {
     exchange.stallTimer = undefined;
     if (response.writableLength > 0 && computeSentBytes(exchange) <= sentBefore) {
-      abortResponse(exchange, limits);
+      abortSlowResponse(exchange, limits);
       return;
     }
     watchReading(exchange, limits);
@@ -116,7 +116,7 @@
   exchange.writtenBytes += data.length;
   response.write(data);
   if (exchange.streamed && response.writableLength > limits.maxAnswerBufferBytes) {
-    abortResponse(exchange, limits);
+    abortSlowResponse(exchange, limits);
     return;
   }
   watchReading(exchange, limits);
@@ -153,12 +153,12 @@
   limits: ResponseLimits,
 ): void {
   const { response } = exchange;
-  const answer = failureResponse.buildFailureResponse(failure);
+  const rendered = failureResponse.buildFailureResponse(failure);
   if (response.headersSent) {
-    abortWithError(exchange, answer.body, limits);
+    abortWithError(exchange, rendered.body, limits);
     return;
   }
-  response.writeHead(answer.status, answer.headers).end(answer.body);
+  response.writeHead(rendered.status, rendered.headers).end(rendered.body);
 }
 
 /** Carries out one effect on a caller's connection. */
--- a/packages/entry/src/caller-server.test.ts
+++ b/packages/entry/src/caller-server.test.ts
@@ -96,10 +96,10 @@
   assert.match(await third.read(/never/), /^HTTP\/1.1 503 [^]*"code":207/);
   // The two connections within the limit are still served.
   open[0].write(`${HEAD}content-length: 101\r\n\r\n`);
-  const answer = await new Promise((resolve) => {
+  const response = await new Promise((resolve) => {
     open[0].once('data', (data) => resolve(String(data)));
   });
-  assert.match(String(answer), /^HTTP\/1.1 413 /);
+  assert.match(String(response), /^HTTP\/1.1 413 /);
   assert.deepEqual(refusals, [schema.ResultCode.QUEUE_FULL, schema.ResultCode.BODY_TOO_LARGE]);
 });
 
--- a/packages/entry/src/caller-server.ts
+++ b/packages/entry/src/caller-server.ts
@@ -43,7 +43,7 @@
 /** Maximum interval between checks for slow requests, milliseconds. */
 const MAX_TIMEOUT_CHECK_MS = 1000;
 /**
- * Number of connections beyond the limit that get a response saying so before any
+ * How many connections beyond the limit still get a refusal as their response;
  * further ones are dropped.
  */
 const REJECTED_CONNECTIONS = 64;
@@ -149,8 +149,8 @@
 
 /** Writes a refusal to a connection on which no request could be read. */
 function writeRefusal(socket: net.Socket, code: schema.ResultCode): void {
-  const answer = failureResponse.buildFailureResponse(failureResponse.buildRefusal(code));
-  runtime.writeErrorResponse(socket, answer);
+  const rendered = failureResponse.buildFailureResponse(failureResponse.buildRefusal(code));
+  runtime.writeErrorResponse(socket, rendered);
 }
 
 /**
--- a/packages/entry/src/failure-response.ts
+++ b/packages/entry/src/failure-response.ts
@@ -18,10 +18,7 @@
 };
 
 const MS_PER_SECOND = 1000;
-/**
- * Retry-after for failures that are safe to retry, if the core gave a smaller one
- * or none, milliseconds.
- */
+/** Minimum retry-after for failures that are safe to retry, milliseconds. */
 const MIN_RETRY_AFTER_MS = 1000;
 /** Codes 201 to 299 are about capacity and membership. */
 const CAPACITY_CODE_GROUP = 2;
--- a/packages/entry/src/request-body.ts
+++ b/packages/entry/src/request-body.ts
@@ -8,7 +8,7 @@
 /** Bytes of the bodies that are being read, over all callers of an entry. */
 export type BodyBudget = { usedBytes: number };
 
-/** Limit on the bytes of all bodies that are being read. */
+/** Limit on the bytes of all bodies that are being read, over all callers. */
 const MAX_BUFFERED_BYTES = 512 * 1024 * 1024;
 
 /** Whether the content-length header alone shows that a body is too long. */
--- a/packages/entry/src/request-cost.ts
+++ b/packages/entry/src/request-cost.ts
@@ -12,6 +12,6 @@
 
 /** Estimates the tokens of prompt and response together. */
 export function estimateTokens(payloadBytes: number, maxTokens: unknown): number {
-  const answer = parseMaxTokens(maxTokens) || DEFAULT_RESPONSE_TOKENS;
-  return Math.ceil(payloadBytes / BYTES_PER_TOKEN) + answer;
+  const responseTokens = parseMaxTokens(maxTokens) || DEFAULT_RESPONSE_TOKENS;
+  return Math.ceil(payloadBytes / BYTES_PER_TOKEN) + responseTokens;
 }
--- a/packages/entry/src/request-reader.ts
+++ b/packages/entry/src/request-reader.ts
@@ -87,7 +87,7 @@
   }
 }
 
-/** Reads the head. A request that its head makes refusable is not read any further. */
+/** Reads the head. If the head alone is reason to refuse the request, the body is not read. */
 export function readHead(
   request: http.IncomingMessage,
   context: ReaderContext,
