--- a/packages/core/src/scheduler/added-latency.ts
+++ b/packages/core/src/scheduler/added-latency.ts
@@ -3,8 +3,9 @@
  *
  * A fully loaded engine processes the prompt of a new request in turns with the tokens of its
  * other requests. The first event then comes later than at an idle engine, by about the same time
- * for short and for long prompts. If the estimate ignored this when all engines are full, a
- * request would be held until only an idle engine could serve it on time, and would be late.
+ * for short and for long prompts. Without this estimate, when all
+ * engines are full, a request would be held until only an idle engine could serve it on time, and
+ * would be late.
  *
  * With many gateways there are few samples of each engine, so the estimate across all engines of
  * the cell is the default for a single one.
--- a/packages/core/src/scheduler/asks.ts
+++ b/packages/core/src/scheduler/asks.ts
@@ -181,8 +181,8 @@
  * Handles a `ScheduleAsk`.
  *
  * A datagram that arrives after a later one is ignored, because its report of the requests in
- * flight is outdated and would restore those that have ended. The gateway sends requests that were
- * not accepted again.
+ * flight is outdated and would restore those that have ended. The gateway resends the requests
+ * that were not accepted.
  */
 export function receiveAsk(
   cell: cells.Cell,
--- a/packages/core/src/scheduler/place-count.ts
+++ b/packages/core/src/scheduler/place-count.ts
@@ -7,7 +7,7 @@
  * Counts all slots of a cell, those that may be granted, and those in use.
  *
  * Right after a takeover only part of the slots may be granted if other gateways could have
- * requests in flight that this one has not been told about.
+ * requests in flight that they have not yet reported to this one.
  *
  * @param address address of the gateway that runs this scheduler
  */
--- a/packages/core/src/scheduler/rate-limit.ts
+++ b/packages/core/src/scheduler/rate-limit.ts
@@ -12,7 +12,7 @@
   serverId: string;
   /** Requests per second from all gateways together; undefined once the limit is lifted. */
   perSecond: number | undefined;
-  /** When a response of the backend server stated this, milliseconds. */
+  /** When a response of the backend server stated the limit, milliseconds. */
   statedMs: number;
 };
 
@@ -34,7 +34,7 @@
  * responses from it to learn that the limit was lifted.
  */
 const MIN_PER_SECOND = 0.2;
-/** Size of the bucket, in seconds at the limit. */
+/** Size of the bucket as the time in which it fills at the limit, seconds. */
 const BURST_S = 1;
 
 /** Applies a limit reported by a gateway, unless a more recent statement is known. */
--- a/packages/core/src/scheduler/request-match.ts
+++ b/packages/core/src/scheduler/request-match.ts
@@ -48,7 +48,7 @@
   return firstMs <= request.targetMs && endMs <= request.giveUpMs;
 }
 
-/** Lists the backend servers that have not asked this gateway to back off. */
+/** Lists the backend servers that have not asked a gateway to back off. */
 function listAccepting(
   { cell, now }: MatchSearch,
   all: readonly serverChoice.Candidate[],
--- a/packages/core/src/scheduler/scheduled-request.ts
+++ b/packages/core/src/scheduler/scheduled-request.ts
@@ -22,7 +22,7 @@
   /** Length of the response in tokens, as estimated by the caller. */
   answerTokens: number;
   arrivedMs: number;
-  /** The caller has missed its target: it has been retrying for longer than that. */
+  /** Its target has passed: the caller has already been retrying for longer than that. */
   isBelated: boolean;
   /** The first byte is late if it arrives after this time. */
   targetMs: number;
--- a/packages/core/src/scheduler/scheduler.ts
+++ b/packages/core/src/scheduler/scheduler.ts
@@ -44,8 +44,8 @@
 /** A cell is removed if no gateway has asked for slots in it for this time, milliseconds. */
 const IDLE_CELL_MS = 30_000;
 /**
- * A gateway from which nothing was received for this time is removed together with its waiting
- * requests and those in flight, milliseconds. A running gateway reports both four times per second;
+ * A gateway from which nothing was received for this time, milliseconds, is removed together with
+ * its waiting requests and those in flight. A running gateway reports both four times per second;
  * one that was killed has lost them, and its slots would remain unused.
  */
 const ASKER_TIMEOUT_MS = 1200;
--- a/packages/core/src/scheduler/wait-queue.test.ts
+++ b/packages/core/src/scheduler/wait-queue.test.ts
@@ -46,7 +46,7 @@
   assert.ok(sendAll(queue).indexOf(20) <= 2);
 });
 
-test('due items and tokens ahead', () => {
+test('due items are listed and tokens ahead counted', () => {
   const queue = waitQueue.createWaitQueue();
   [1, 2, 3].forEach((serial) => waitQueue.addItem(queue, buildItem(serial, serial, 'a')));
   assert.deepEqual(
--- a/packages/core/src/scheduler/warm-up.test.ts
+++ b/packages/core/src/scheduler/warm-up.test.ts
@@ -62,7 +62,7 @@
   assert.ok(countMost([...before, ...after]) <= LIMIT.maxInOneSecond);
 });
 
-test('first second of a server that is wrongly considered warm', () => {
+test('server wrongly considered warm is not overloaded in its first second', () => {
   // A backend server has restarted after a crash, and no gateway knows. In the first second it must
   // get no more requests than it can handle.
   const first = startAll(LIMIT, WARM, 1400);
@@ -82,13 +82,13 @@
   });
 });
 
-test('delayed grants that are used within one second', () => {
+test('delayed grants used within one second keep the limit', () => {
   // A gateway stalls and uses its grants up to 0.4 s late, so that grants made during 1.4 s reach
   // the backend server within one second.
   const late = startAll(LIMIT, WARM, 1400).map((one) => Math.max(one, 400));
   assert.ok(countMost(late) <= LIMIT.maxInOneSecond, String(countMost(late)));
 });
 
-test('service that needs no warm-up', () => {
+test('service that needs no warm-up has no limit', () => {
   assert.equal(warmUp.countStartsLeft([0, 0, 0], undefined, WARMING, 0), Infinity);
 });
