--- a/packages/core/src/shared/document-store.test.ts
+++ b/packages/core/src/shared/document-store.test.ts
@@ -19,7 +19,7 @@
   return entry;
 }
 
-nodeTest.test('a version reaches processes cut off from the service', () => {
+nodeTest.test('a version reaches processes that cannot reach the service', () => {
   // Only one entry reads the new version; the others cannot reach the configuration service. They
   // must learn of it from heartbeats, and each must fetch it from one peer only.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
--- a/packages/core/src/shared/key-homes.test.ts
+++ b/packages/core/src/shared/key-homes.test.ts
@@ -73,7 +73,7 @@
   });
 });
 
-nodeTest.test('issue time of a key', () => {
+nodeTest.test('issue time is parsed from a key of UUID version 7 only', () => {
   assert.equal(keyTime.parseKeyIssueTime('0192f3a0-0000-7abc-9def-000000000001'), 0x0192f3a00000);
   assert.equal(keyTime.parseKeyIssueTime('0192f3a0-0000-4abc-9def-000000000001'), 0);
   assert.equal(keyTime.parseKeyIssueTime('order-17'), 0);
--- a/packages/core/src/shared/priority-heap.test.ts
+++ b/packages/core/src/shared/priority-heap.test.ts
@@ -41,7 +41,7 @@
   );
 });
 
-nodeTest.test('heap keeps no more stale items than live ones and a constant', () => {
+nodeTest.test('stale heap items are at most as many as current ones plus a constant', () => {
   const heap = priorityHeap.createPriorityHeap();
   Array.from({ length: 10_000 }, (_, index) => index).forEach((index) =>
     priorityHeap.setPriority(heap, `id-${index % 10}`, index),
--- a/packages/core/src/shared/queue-throughput.ts
+++ b/packages/core/src/shared/queue-throughput.ts
@@ -12,7 +12,7 @@
   requests: number;
   /** Tokens of these requests. */
   tokens: number;
-  /** Time in which these starts took place while requests waited, milliseconds. */
+  /** Time before these starts in which a request waited, milliseconds. */
   busyMs: number;
   lastStartMs: number;
 };
--- a/packages/core/src/shared/rendezvous.test.ts
+++ b/packages/core/src/shared/rendezvous.test.ts
@@ -22,7 +22,7 @@
   });
 });
 
-test('rankings that start or end empty', () => {
+test('updated ranking may start or end empty', () => {
   const ids = buildIds(0, 5);
   const ranked = rendezvous.updateRanked('one/0', [], ids, new Set());
   assert.deepEqual(ranked, rendezvous.rankScored('one/0', ids));
--- a/packages/core/src/shared/start-queue.test.ts
+++ b/packages/core/src/shared/start-queue.test.ts
@@ -43,7 +43,7 @@
   assert.ok(Math.abs(sumTokens('c') - 2 * sumTokens('a')) <= 14_000);
 });
 
-nodeTest.test('the queue gives back each item once, tiers in order', () => {
+nodeTest.test('the queue returns each item once, tiers in order', () => {
   const arbitrary = fastCheck.array(
     fastCheck.record({
       tierRank: fastCheck.nat(4),
