--- a/packages/proofs/src/soak/main.ts
+++ b/packages/proofs/src/soak/main.ts
@@ -23,7 +23,7 @@
 const seeds = Array.from({ length: Number(values.seeds) }, (_, index) => first + index);
 let failures = 0;
 
-/** Runs seeds from the list until it is empty. */
+/** Runs seeds from the shared list until it is empty. */
 async function runSome(): Promise<void> {
   let seed = seeds.shift();
   while (seed !== undefined) {
@@ -44,7 +44,7 @@
     if (report.violations.length > 0) {
       failures += 1;
     } else {
-      // The logs are kept where they are needed to trace something.
+      // The logs are needed only to trace a violation.
       fs.rmSync(report.folder, { recursive: true });
     }
     seed = seeds.shift();
--- a/packages/proofs/src/soak/run-soak.ts
+++ b/packages/proofs/src/soak/run-soak.ts
@@ -1,4 +1,4 @@
-/** Runs one seed of the soak: a fleet, callers, faults, then the checks. */
+/** Runs one seed of the soak test: starts a fleet, callers and faults, then runs the checks. */
 import * as timers from 'node:timers/promises';
 import * as randomSource from '../mocks/random-source.js';
 import * as soakCaller from './soak-caller.js';
@@ -16,16 +16,17 @@
   backends: number;
   callers: number;
   faults: number;
-  /** Time in which faults begin, milliseconds. */
+  /** Length of the period in which faults begin, milliseconds. */
   faultsMs: number;
-  /** Failure domains that are evacuated and taken back, one after the other. */
+  /** Number of evacuations of failure domains, one after the other; each is undone. */
   evacuations: number;
-  /** Rate limits that backend servers name, one after the other. */
+  /** Number of temporary rate limits that backend servers announce, one after the other. */
   limits: number;
-  /** Statements of backend servers that they leave, or want nothing for a while. */
+  /** Number of statements in which a backend server says it is leaving or asks for a backoff. */
   statements: number;
-  /** Restorations of the store from backups, one after the other. */
+  /** Number of times the store is restored from a backup, one after the other. */
   epochs: number;
+  /** Also checks response times, which hold only on a machine with spare CPU. */
   areTimesChecked: boolean;
 };
 
@@ -33,24 +34,27 @@
   seed: number;
   calls: number;
   runs: number;
-  /** Calls by the status of their answer; 0 for none. */
+  /** Calls by response status; `none` without a response, `left` if the caller disconnected. */
   ends: Record<string, number>;
   faults: string[];
   violations: soakChecks.Violation[];
-  /** Where the logs of the gateways are. */
+  /** Directory with the gateways' logs. */
   folder: string;
 };
 
-/** Longest fault, graceful end and restart; then everything must serve again, ms. */
+/**
+ * Milliseconds after the last fault before the gateways are probed: covers the longest fault,
+ * a graceful shutdown and a restart.
+ */
 const SETTLE_MS = 4000;
 const SEED_STEP = 7919;
-/** Evacuations have a source of their own, so that a seed keeps its faults. */
+/** Each series of events has a random source of its own, so that a seed keeps its faults. */
 const EVACUATIONS_STEP = 104_729;
 const LIMITS_STEP = 1_299_709;
 const EPOCHS_STEP = 15_485_863;
 const STATEMENTS_STEP = 179_424_673;
 
-/** Puts the faults in at their times. */
+/** Applies each fault at its time. */
 async function applyFaults(fleet: soakFleet.SoakFleet, faults: soakFaults.Fault[]): Promise<void> {
   const beganMs = fleet.readNow();
   await Promise.all(
@@ -61,17 +65,17 @@
   );
 }
 
-/** Counts how the calls ended. */
+/** Counts the calls by outcome. */
 function countEnds({ records }: soakFleet.SoakFleet): Record<string, number> {
   const ends: Record<string, number> = {};
-  records.calls.forEach(({ answer, leftMs }) => {
-    const key = leftMs > 0 ? 'left' : String(answer?.status ?? 'none');
+  records.calls.forEach(({ response, disconnectedMs }) => {
+    const key = disconnectedMs > 0 ? 'left' : String(response?.status ?? 'none');
     ends[key] = (ends[key] ?? 0) + 1;
   });
   return ends;
 }
 
-/** Plays the callers and the faults, and checks what was seen. */
+/** Runs the callers and the faults, then checks the records. */
 async function runCalls(
   fleet: soakFleet.SoakFleet,
   options: SoakOptions,
@@ -129,11 +133,11 @@
   });
   return isServing
     ? violations
-    : [...violations, { promise: 'serves again', detail: 'a gateway does not serve' }];
+    : [...violations, { guarantee: 'serves again', detail: 'a gateway does not serve' }];
 }
 
-/** Notes that the gateways owe nothing for the time until they had started. */
-function noteStart({ gateways, records, readNow }: soakFleet.SoakFleet): void {
+/** Records the startup as a disturbance, so that no gateway is checked before it serves. */
+function recordStartup({ gateways, records, readNow }: soakFleet.SoakFleet): void {
   const untilMs = readNow();
   gateways.forEach(({ index }) =>
     records.disturbances.push({ gateway: index, fromMs: 0, untilMs }),
@@ -150,7 +154,7 @@
     if (!(await soakFleet.waitForService(fleet))) {
       throw new Error(`the fleet does not start; its logs are in ${fleet.folder}`);
     }
-    noteStart(fleet);
+    recordStartup(fleet);
     const violations = await runCalls(fleet, options, faults);
     return {
       seed,
--- a/packages/proofs/src/soak/soak-call.ts
+++ b/packages/proofs/src/soak/soak-call.ts
@@ -1,25 +1,25 @@
-/** One call of a soak, noted from its sending to its end. */
+/** Sends one call of the soak test and records how it ends. */
 import * as http from 'node:http';
-import * as gatewayScene from '@toucanproxy/platform/mocks/gateway-fixture';
-import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
+import * as gatewayFixture from '@toucanproxy/platform/mocks/gateway-fixture';
+import * as platformFixtures from '@toucanproxy/platform/mocks/platform-fixtures';
 import type * as soakRecords from './soak-records.js';
 
-/** What is to be sent. */
+/** A call to be sent. */
 export type PlannedCall = Pick<
   soakRecords.CallRecord,
   'id' | 'kind' | 'path' | 'body' | 'credential' | 'workspace' | 'gateway' | 'deadlineMs'
 > & {
-  /** The caller leaves after this time, milliseconds; undefined where it stays. */
-  leaveAfterMs?: number;
+  /** The caller disconnects after this time, milliseconds; undefined if it waits. */
+  disconnectAfterMs?: number;
 };
 
-/** Times its deadline after which a caller takes its call for lost. */
-const LOST_TURNS = 2;
+/** A caller gives up on a call after this multiple of its deadline. */
+const LOST_FACTOR = 2;
 
-/** Makes a call and notes how it ended. */
+/** Sends a call, waits for its end and adds it to the records. */
 export async function makeCall(
   { records, readNow }: { records: soakRecords.SoakRecords; readNow: () => number },
-  { leaveAfterMs, ...planned }: PlannedCall,
+  { disconnectAfterMs, ...planned }: PlannedCall,
   port: number,
   agent: http.Agent | undefined,
 ): Promise<soakRecords.CallRecord> {
@@ -27,33 +27,33 @@
   const call: soakRecords.CallRecord = {
     ...planned,
     sentMs,
-    leftMs: 0,
+    disconnectedMs: 0,
     endedMs: 0,
-    answer: undefined,
+    response: undefined,
   };
   records.calls.push(call);
   const leaving = new AbortController();
   const timer = setTimeout(
     () => {
-      call.leftMs = leaveAfterMs === undefined ? 0 : readNow();
+      call.disconnectedMs = disconnectAfterMs === undefined ? 0 : readNow();
       leaving.abort();
     },
-    leaveAfterMs ?? LOST_TURNS * call.deadlineMs,
+    disconnectAfterMs ?? LOST_FACTOR * call.deadlineMs,
   );
-  const headers = standInWire.buildCallHeaders(call);
+  const headers = platformFixtures.buildCallHeaders(call);
   const options = { method: 'POST', body: call.body, agent, signal: leaving.signal, headers };
   try {
     const {
       status,
       body,
       headers: given,
-      isComplete: isWhole,
-    } = await gatewayScene.fetchResponse(port, call.path, options, 0);
-    const isSigned = standInWire.isSigned(given);
-    call.answer = { status, body, isSigned, isWhole };
+      isComplete,
+    } = await gatewayFixture.fetchResponse(port, call.path, options, 0);
+    const isSigned = platformFixtures.isSigned(given);
+    call.response = { status, body, isSigned, isComplete };
   } catch {
-    // The connection ended without an answer; the checks decide whether it may.
-    call.answer = undefined;
+    // The connection ended without a response; the checks decide whether that is allowed.
+    call.response = undefined;
   } finally {
     clearTimeout(timer);
     call.endedMs = readNow();
--- a/packages/proofs/src/soak/soak-caller.ts
+++ b/packages/proofs/src/soak/soak-caller.ts
@@ -1,4 +1,4 @@
-/** A caller of a soak: one call after another, on kept connections. */
+/** A caller of the soak test: sends one call after another over keep-alive connections. */
 import * as http from 'node:http';
 import * as timers from 'node:timers/promises';
 import * as randomSource from '../mocks/random-source.js';
@@ -10,9 +10,9 @@
   draw: randomSource.DrawRandom;
   records: soakRecords.SoakRecords;
   readNow: () => number;
-  /** Ports that lead to the gateways. */
+  /** Local ports that forward to the gateways, by gateway index. */
   ports: readonly number[];
-  /** Keys that callers use, with the workspaces that hold them. */
+  /** API keys in use and the workspaces they belong to. */
   credentials: readonly { credential: string; workspace: string }[];
   isStopped: () => boolean;
 };
@@ -26,17 +26,17 @@
   soakRecords.CallKind.RESUMABLE,
 ];
 const DEADLINE_MS = 2000;
-/** Share of callers that leave, and after which time, milliseconds. */
-const LEAVE_SHARE = 0.05;
-const LEAVE_MS = 25;
-/** Share of calls after which the caller changes to another gateway. */
-const MOVE_SHARE = 0.05;
-const LONGEST_PAUSE_MS = 20;
-/** A caller that was refused waits, or refusals would be all that is played. */
+/** Share of calls whose caller disconnects early, and after how many milliseconds. */
+const DISCONNECT_SHARE = 0.05;
+const DISCONNECT_AFTER_MS = 25;
+/** Share of calls after which the caller picks a gateway anew. */
+const SWITCH_SHARE = 0.05;
+const MAX_PAUSE_MS = 20;
+/** Pause after a 503; without it, a run would consist mostly of refused calls. */
 const REFUSED_PAUSE_MS = 100;
 const MAX_BODY_BYTES = 3000;
 
-/** Draws what the next call asks for. */
+/** Draws the next call. */
 function drawCall(options: CallerOptions, serial: number, gateway: number): soakCall.PlannedCall {
   const { name, draw, credentials } = options;
   const kind = randomSource.drawFrom(draw, KINDS);
@@ -49,11 +49,11 @@
     ...randomSource.drawFrom(draw, credentials),
     gateway,
     deadlineMs: DEADLINE_MS,
-    leaveAfterMs: draw() < LEAVE_SHARE ? LEAVE_MS : undefined,
+    disconnectAfterMs: draw() < DISCONNECT_SHARE ? DISCONNECT_AFTER_MS : undefined,
   };
 }
 
-/** Calls until it is stopped. */
+/** Sends calls until the run stops. */
 export async function runCaller(options: CallerOptions): Promise<void> {
   const { draw, ports, isStopped } = options;
   const agents = ports.map(() => new http.Agent({ keepAlive: true, maxSockets: 1 }));
@@ -62,9 +62,9 @@
   while (!isStopped()) {
     serial += 1;
     const call = drawCall(options, serial, gateway);
-    const { answer } = await soakCall.makeCall(options, call, ports[gateway], agents[gateway]);
-    gateway = draw() < MOVE_SHARE ? Math.floor(draw() * ports.length) : gateway;
-    const pauseMs = answer?.status === 503 ? REFUSED_PAUSE_MS : draw() * LONGEST_PAUSE_MS;
+    const { response } = await soakCall.makeCall(options, call, ports[gateway], agents[gateway]);
+    gateway = draw() < SWITCH_SHARE ? Math.floor(draw() * ports.length) : gateway;
+    const pauseMs = response?.status === 503 ? REFUSED_PAUSE_MS : draw() * MAX_PAUSE_MS;
     await timers.setTimeout(pauseMs);
   }
   agents.forEach((agent) => agent.destroy());
--- a/packages/proofs/src/soak/soak-checks.ts
+++ b/packages/proofs/src/soak/soak-checks.ts
@@ -1,18 +1,18 @@
-/** The promises of the pages, checked from what callers and backend servers saw. */
+/** Checks the documented guarantees against what callers and backend servers recorded. */
 import * as soakRecords from './soak-records.js';
 import * as soakStatementChecks from './soak-statement-checks.js';
 
-/** What a deployment promises, and how much of it may be taken up. */
+/** Limits that the deployment under test guarantees. */
 export type SoakBounds = {
   revocationMs: number;
   evacuationMs: number;
   retryRatio: number;
   retryExtra: number;
-  /** Also checks times, which hold only where the machine is not too busy. */
+  /** Also checks response times, which hold only on a machine with spare CPU. */
   areTimesChecked: boolean;
 };
 
-export type Violation = { promise: string; detail: string };
+export type Violation = { guarantee: string; detail: string };
 
 type Context = {
   records: soakRecords.SoakRecords;
@@ -23,77 +23,87 @@
 
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const RETRY_WINDOW_MS = 10_000;
-/** In this time a gateway reads a change, one lost call included, milliseconds. */
+/** A gateway reads a store change within this time, one lost call included, milliseconds. */
 const READING_MS = 2650;
-/** Time over which a backend server with a rate limit counts, milliseconds. */
+/** Window over which requests to a rate-limited backend server are counted, milliseconds. */
 const LIMIT_WINDOW_MS = 4000;
-/** A gateway keeps a limit this long after it was first named, and after it was told, ms. */
+/**
+ * A limit is checked only this long after its first announcement, and for each gateway only
+ * this long after an announcement that went through it, milliseconds.
+ */
 const LIMIT_LEARNING_MS = 3000;
-const LIMIT_TOLD_MS = 500;
-/** What a limited backend server may get: a multiple of its limit, and some requests. */
+const LIMIT_ANNOUNCED_MS = 500;
+/** A limited backend server may get this multiple of its limit plus this many requests. */
 const LIMIT_FACTOR = 1.5;
 const LIMIT_EXTRA = 5;
-/** An answer that is due may come this late, milliseconds; the machine may be busy. */
+/** Tolerance for a late response, milliseconds, as the machine may be busy. */
 const LATE_MS = 1000;
 
-/** Tells whether a request may run more than once. */
+/** Whether a request may run more than once. */
 function isRepeatable({ kind }: soakRecords.CallRecord): boolean {
   return kind === soakRecords.CallKind.SAFE || kind === soakRecords.CallKind.RESUMABLE;
 }
 
-/** Tells whether an answer is a success. */
-function isSuccess(answer: soakRecords.CallAnswer): boolean {
-  return answer.status >= 200 && answer.status < 300;
+/** Whether a response has a 2xx status. */
+function isSuccess(response: soakRecords.CallResponse): boolean {
+  return response.status >= 200 && response.status < 300;
 }
 
-/** Lists the calls for which something does not hold. */
-function listCalls(
+/** Lists a violation for each call that breaks a guarantee. */
+function listViolations(
   { records, runsById }: Context,
-  promise: string,
+  guarantee: string,
   isBroken: (call: soakRecords.CallRecord, runs: soakRecords.RunRecord[]) => boolean,
 ): Violation[] {
   return records.calls
     .filter((call) => isBroken(call, runsById.get(call.id) ?? []))
     .map((call) => {
       const runs = runsById.get(call.id) ?? [];
-      return { promise, detail: JSON.stringify({ ...call, body: call.body.length, runs }) };
+      return { guarantee, detail: JSON.stringify({ ...call, body: call.body.length, runs }) };
     });
 }
 
-/** A request that must not be repeated runs once at most. */
+/** Checks that a request that must not be retried runs at most once. */
 function checkRunsOnce(context: Context): Violation[] {
-  return listCalls(context, 'runs once', (call, runs) => !isRepeatable(call) && runs.length > 1);
+  return listViolations(
+    context,
+    'runs at most once',
+    (call, runs) => !isRepeatable(call) && runs.length > 1,
+  );
 }
 
-/** A refusal that says "not run" is true for good. */
+/** Checks that a request refused as "not run" never runs, also not later. */
 function checkNotRun(context: Context): Violation[] {
-  return listCalls(
+  return listViolations(
     context,
     'not run is true',
     (call, runs) =>
       !isRepeatable(call) &&
-      call.answer !== undefined &&
-      NOT_RUN_STATUSES.has(call.answer.status) &&
+      call.response !== undefined &&
+      NOT_RUN_STATUSES.has(call.response.status) &&
       runs.length > 0,
   );
 }
 
-/** A success is the whole answer of a backend server to this very request. */
+/**
+ * Checks that a successful response is the one that a backend server gave to this request:
+ * complete and signed, or else a prefix of it that is visibly truncated.
+ */
 function checkAnswers(context: Context): Violation[] {
-  return listCalls(context, 'whole answer', (call, runs) => {
-    const { answer } = call;
-    if (answer === undefined || !isSuccess(answer)) {
+  return listViolations(context, 'complete response', (call, runs) => {
+    const { response } = call;
+    if (response === undefined || !isSuccess(response)) {
       return false;
     }
     const expected = soakRecords.buildExpectedBody(call);
-    const isPrefix = expected.startsWith(answer.body);
-    return answer.isWhole
-      ? answer.body !== expected || !answer.isSigned || runs.length === 0
+    const isPrefix = expected.startsWith(response.body);
+    return response.isComplete
+      ? response.body !== expected || !response.isSigned || runs.length === 0
       : !isPrefix;
   });
 }
 
-/** A backend server runs what a caller sent, under its workspace, without its key. */
+/** Checks that requests reach backend servers unchanged, with the workspace and without the key. */
 function checkRequests({ records, callById }: Context): Violation[] {
   return records.runs
     .filter((run) => {
@@ -107,11 +117,11 @@
         run.workspace !== call.workspace
       );
     })
-    .map((run) => ({ promise: 'request as sent', detail: JSON.stringify(run) }));
+    .map((run) => ({ guarantee: 'request as sent', detail: JSON.stringify(run) }));
 }
 
-/** Tells whether something that lasts a time is over a gateway within another time. */
-function isMet(
+/** Whether a disturbance or store fault of a gateway overlaps a period. */
+function isOverlapping(
   one: { gateway: number | undefined; fromMs: number; untilMs: number },
   gateway: number | undefined,
   fromMs: number,
@@ -122,8 +132,9 @@
 }
 
 /**
- * Computes until when a gateway may not know of a change that the store has lost: it could
- * not read it before, or has started since and the store does not have it.
+ * Computes until when a gateway may be unaware of a change that a restored store has lost.
+ * That holds if the gateway couldn't read the change before the restore, or restarted before
+ * the change was written again.
  */
 function computeUnawareUntil(
   { records: { storeGaps, disturbances, storeFaults } }: Context,
@@ -134,13 +145,13 @@
     ({ fromMs, untilMs }) =>
       fromMs >= atMs &&
       (fromMs - atMs < READING_MS ||
-        storeFaults.some((one) => isMet(one, gateway, atMs, fromMs)) ||
-        disturbances.some((one) => isMet(one, gateway, atMs, untilMs))),
+        storeFaults.some((one) => isOverlapping(one, gateway, atMs, fromMs)) ||
+        disturbances.some((one) => isOverlapping(one, gateway, atMs, untilMs))),
   );
   return Math.max(atMs, ...gaps.map(({ untilMs }) => untilMs));
 }
 
-/** No request with a key that was taken away runs after the bound. */
+/** Checks that no request with a revoked key runs later than the bound after the revocation. */
 function checkRevocations(context: Context): Violation[] {
   const { records, bounds, callById } = context;
   return records.revocations.flatMap(({ credential, atMs }) =>
@@ -150,11 +161,11 @@
         const sinceMs = computeUnawareUntil(context, call?.gateway, atMs);
         return call?.credential === credential && call.sentMs > sinceMs + bounds.revocationMs;
       })
-      .map((run) => ({ promise: 'revoked key', detail: JSON.stringify(run) })),
+      .map((run) => ({ guarantee: 'revoked key', detail: JSON.stringify(run) })),
   );
 }
 
-/** No request runs in a failure domain later than the bound after it was evacuated. */
+/** Checks that no request runs in a failure domain later than the bound after its evacuation. */
 function checkEvacuations(context: Context): Violation[] {
   const { records, bounds, callById } = context;
   return records.evacuations.flatMap(({ failureDomain, fromMs, untilMs }) =>
@@ -164,16 +175,16 @@
         const sinceMs = computeUnawareUntil(context, callById.get(id)?.gateway, fromMs);
         return atMs > sinceMs + bounds.evacuationMs && atMs < untilMs;
       })
-      .map((run) => ({ promise: 'evacuated domain', detail: JSON.stringify(run) })),
+      .map((run) => ({ guarantee: 'evacuated domain', detail: JSON.stringify(run) })),
   );
 }
 
-/** Sorts times. */
+/** Sorts times in place, ascending. */
 function sortTimes(times: number[]): number[] {
   return times.sort((a, b) => a - b);
 }
 
-/** Finds where in sorted times the first is that is not before another. */
+/** Returns the index of the first of the sorted times that is not before `atMs`. */
 function findFrom(times: readonly number[], atMs: number): number {
   let [low, high] = [0, times.length];
   while (low < high) {
@@ -183,72 +194,75 @@
   return low;
 }
 
-/** Counts the sorted times within a window. */
+/** Counts the sorted times within a window that starts at `fromMs`. */
 function countWithin(times: readonly number[], fromMs: number, windowMs: number): number {
   return findFrom(times, fromMs + windowMs) - findFrom(times, fromMs);
 }
 
-/** Repeats stay within the budget that all gateways share. */
+/** Checks that retries stay within the retry budget that all gateways share. */
 function checkRetries({ records, bounds }: Context): Violation[] {
-  const repeats = sortTimes([...records.arrivals.values()].flatMap((times) => times.slice(1)));
+  const retries = sortTimes([...records.arrivals.values()].flatMap((times) => times.slice(1)));
   const calls = sortTimes(records.calls.map(({ sentMs }) => sentMs));
-  return repeats.flatMap((fromMs) => {
-    const count = countWithin(repeats, fromMs, RETRY_WINDOW_MS);
+  return retries.flatMap((fromMs) => {
+    const count = countWithin(retries, fromMs, RETRY_WINDOW_MS);
     const allowed =
       bounds.retryRatio * countWithin(calls, fromMs, RETRY_WINDOW_MS) + bounds.retryExtra;
     return count > allowed
-      ? [{ promise: 'retry budget', detail: JSON.stringify({ fromMs, count, allowed }) }]
+      ? [{ guarantee: 'retry budget', detail: JSON.stringify({ fromMs, count, allowed }) }]
       : [];
   });
 }
 
-/** Lists when requests came that a gateway sent though it had been told and is not excused. */
-function listToldArrivals(
+/**
+ * Lists the arrival times of requests from gateways that knew the rate limit and weren't
+ * disturbed meanwhile.
+ */
+function listInformedArrivals(
   { records, callById }: Context,
   limit: soakRecords.LimitRecord,
 ): number[] {
   const findGateway = (id: string) => callById.get(id)?.gateway;
-  const firstMs = limit.told[0]?.atMs ?? Infinity;
+  const firstMs = limit.announced[0]?.atMs ?? Infinity;
   return limit.arrivals
     .filter(({ id, atMs }) => {
       const gateway = findGateway(id);
-      const toldBeforeMs = atMs - LIMIT_TOLD_MS;
+      const announcedBeforeMs = atMs - LIMIT_ANNOUNCED_MS;
       const isExcused = records.disturbances.some(
         (one) =>
           one.gateway === gateway && one.fromMs <= atMs && one.untilMs >= atMs - LIMIT_WINDOW_MS,
       );
-      const isTold = limit.told.some(
-        (one) => findGateway(one.id) === gateway && one.atMs <= toldBeforeMs,
+      const isInformed = limit.announced.some(
+        (one) => findGateway(one.id) === gateway && one.atMs <= announcedBeforeMs,
       );
-      return atMs >= firstMs + LIMIT_LEARNING_MS && isTold && !isExcused;
+      return atMs >= firstMs + LIMIT_LEARNING_MS && isInformed && !isExcused;
     })
     .map(({ atMs }) => atMs);
 }
 
-/** A backend server that names a rate limit gets no more than it may. */
+/** Checks that a backend server that announces a rate limit isn't sent more than it allows. */
 function checkLimits(context: Context): Violation[] {
   return context.records.limits.flatMap((limit) => {
-    const times = listToldArrivals(context, limit);
+    const times = listInformedArrivals(context, limit);
     const { server, perSecond } = limit;
     const allowed = LIMIT_FACTOR * perSecond * (LIMIT_WINDOW_MS / 1000) + LIMIT_EXTRA;
     return times.flatMap((fromMs) => {
       const untilMs = fromMs + LIMIT_WINDOW_MS;
       const count = times.filter((at) => at >= fromMs && at < untilMs).length;
       const detail = JSON.stringify({ server, perSecond, fromMs, count, allowed });
-      return count > allowed ? [{ promise: 'rate limit', detail }] : [];
+      return count > allowed ? [{ guarantee: 'rate limit', detail }] : [];
     });
   });
 }
 
-/** Gateways do not end by themselves. */
+/** Checks that no gateway process exited by itself. */
 function checkProcesses({ records }: Context): Violation[] {
-  return records.unexpectedEnds.map((one) => ({
-    promise: 'process stays up',
+  return records.unexpectedExits.map((one) => ({
+    guarantee: 'no unexpected exit',
     detail: JSON.stringify(one),
   }));
 }
 
-/** Tells whether something was done to the gateway of a call while it lasted. */
+/** Whether the gateway of a call was disturbed during the call. */
 function isDisturbed({ records }: Context, call: soakRecords.CallRecord): boolean {
   return records.disturbances.some(
     ({ gateway, fromMs, untilMs }) =>
@@ -256,24 +270,24 @@
   );
 }
 
-/** A call through a gateway that nothing is done to is answered within its deadline. */
+/** Checks that a call through an undisturbed gateway gets a response within its deadline. */
 function checkAnswered(context: Context): Violation[] {
-  return listCalls(context, 'answered in time', (call) => {
-    const isOwed = call.leftMs === 0 && !isDisturbed(context, call);
+  return listViolations(context, 'response in time', (call) => {
+    const isExpected = call.disconnectedMs === 0 && !isDisturbed(context, call);
     const isLate = call.endedMs - call.sentMs > call.deadlineMs + LATE_MS;
-    return isOwed && (call.answer === undefined || isLate);
+    return isExpected && (call.response === undefined || isLate);
   });
 }
 
-/** Nothing is sent to a backend server after its caller has left. */
-function checkLeft(context: Context): Violation[] {
-  return listCalls(context, 'work of a caller that left', (call, runs) => {
-    const isOver = call.leftMs > 0 && !isDisturbed(context, call);
-    return isOver && runs.some((run) => run.atMs > call.leftMs + LATE_MS);
+/** Checks that no request starts on a backend server after its caller disconnected. */
+function checkDisconnected(context: Context): Violation[] {
+  return listViolations(context, 'no work after a caller disconnects', (call, runs) => {
+    const isOver = call.disconnectedMs > 0 && !isDisturbed(context, call);
+    return isOver && runs.some((run) => run.atMs > call.disconnectedMs + LATE_MS);
   });
 }
 
-/** Checks all promises. */
+/** Checks all guarantees. */
 export function checkRecords(records: soakRecords.SoakRecords, bounds: SoakBounds): Violation[] {
   const runsById = new Map<string, soakRecords.RunRecord[]>();
   records.runs.forEach((run) => runsById.set(run.id, [...(runsById.get(run.id) ?? []), run]));
@@ -290,7 +304,7 @@
     checkLimits,
     checkProcesses,
   ];
-  const timed = bounds.areTimesChecked ? [checkAnswered, checkLeft] : [];
+  const timed = bounds.areTimesChecked ? [checkAnswered, checkDisconnected] : [];
   return [
     ...[...always, ...timed].flatMap((check) => check(context)),
     ...soakStatementChecks.checkStatements(records, callById),
--- a/packages/proofs/src/soak/soak-epochs.ts
+++ b/packages/proofs/src/soak/soak-epochs.ts
@@ -1,16 +1,19 @@
-/** A store of a soak that is restored from older backups of itself, one after the other. */
+/** Restores the store of the soak test from older backups of itself, which starts a new epoch. */
 import * as timers from 'node:timers/promises';
 import * as storeStandIn from '@toucanproxy/platform/mocks/store-stand-in';
 import * as randomSource from '../mocks/random-source.js';
 import type * as soakFleet from './soak-fleet.js';
 
-/** Age of a backup, how long the store is away, and until all is written again; milliseconds. */
-const SHORTEST_AGE_MS = 500;
-const LONGEST_AGE_MS = 4000;
-const LONGEST_AWAY_MS = 600;
-const LONGEST_REWRITE_MS = 1500;
+/**
+ * Age of a backup, how long the store is unavailable, and the time until lost changes are
+ * written again, milliseconds.
+ */
+const MIN_AGE_MS = 500;
+const MAX_AGE_MS = 4000;
+const MAX_AWAY_MS = 600;
+const MAX_REWRITE_MS = 1500;
 
-/** Restores the store from backups in turn; what was lost is written again. */
+/** Restores the store several times in turn; changes that a restore loses are written again. */
 export async function runEpochs(
   { store, records, readNow }: soakFleet.SoakFleet,
   draw: randomSource.DrawRandom,
@@ -19,14 +22,14 @@
   const { REFUSING, SERVING } = storeStandIn.StoreMode;
   for (let index = 0; index < count; index += 1) {
     const backup = store.backUp();
-    await timers.setTimeout(randomSource.drawBetween(draw, SHORTEST_AGE_MS, LONGEST_AGE_MS));
+    await timers.setTimeout(randomSource.drawBetween(draw, MIN_AGE_MS, MAX_AGE_MS));
     store.setMode(REFUSING);
-    await timers.setTimeout(randomSource.drawBetween(draw, 0, LONGEST_AWAY_MS));
+    await timers.setTimeout(randomSource.drawBetween(draw, 0, MAX_AWAY_MS));
     const writeAgain = store.restore(backup, draw() < 0.5);
     const gap = { fromMs: readNow(), untilMs: Infinity };
     records.storeGaps.push(gap);
     store.setMode(SERVING);
-    await timers.setTimeout(randomSource.drawBetween(draw, 0, LONGEST_REWRITE_MS));
+    await timers.setTimeout(randomSource.drawBetween(draw, 0, MAX_REWRITE_MS));
     writeAgain();
     gap.untilMs = readNow();
   }
--- a/packages/proofs/src/soak/soak-faults.ts
+++ b/packages/proofs/src/soak/soak-faults.ts
@@ -1,13 +1,14 @@
 /**
- * Faults of a soak: drawn from a seed, put in from outside, and taken away again.
+ * Faults of the soak test: drawn from a seed, injected from outside the processes, and undone
+ * after a while.
  *
- * Faults overlap and come in series, also on the same process, as they do when
- * something goes wrong on a VM.
+ * Faults may overlap and follow each other, also on the same process, as they do when
+ * a VM is failing.
  */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import * as timers from 'node:timers/promises';
-import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
+import * as platformFixtures from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as storeStandIn from '@toucanproxy/platform/mocks/store-stand-in';
 import type * as forwarder from '../mocks/forwarder.js';
 import * as randomSource from '../mocks/random-source.js';
@@ -44,17 +45,17 @@
   kind: FaultKind;
   atMs: number;
   forMs: number;
-  /** Draws the thing that it strikes. */
+  /** Number in [0, 1) that selects the gateway, backend server or key. */
   target: number;
 };
 
 const KINDS = Object.values(FaultKind);
-const LONGEST_FAULT_MS = 3000;
+const MAX_FAULT_MS = 3000;
 const SLOW_MS = 60;
 const SERIES = 5;
-/** A gateway that is told to stop answers what comes in this time, milliseconds. */
+/** A gateway still answers new calls for this long after SIGTERM, milliseconds. */
 const SERVED_AFTER_TERM_MS = 2000;
-/** A caller's link is disturbed for this long after its fault is over, milliseconds. */
+/** A gateway or link counts as disturbed for this long after its fault is over, milliseconds. */
 const AFTER_MS = 1500;
 
 /** Draws the faults of one run, in the order of their times. */
@@ -67,14 +68,14 @@
   const faults = Array.from({ length: count }, () => ({
     kind: randomSource.drawFrom(draw, KINDS),
     atMs: randomSource.drawBetween(draw, fromMs, untilMs),
-    forMs: randomSource.drawBetween(draw, 50, LONGEST_FAULT_MS),
+    forMs: randomSource.drawBetween(draw, 50, MAX_FAULT_MS),
     target: draw(),
   }));
   return faults.sort((a, b) => a.atMs - b.atMs);
 }
 
-/** Notes that something is done to a gateway. */
-function noteDisturbance(
+/** Records that a gateway is disturbed from now on. */
+function recordDisturbance(
   { records, readNow }: soakFleet.SoakFleet,
   gateway: soakFleet.SoakGateway,
   forMs: number,
@@ -83,8 +84,8 @@
   records.disturbances.push({ gateway: gateway.index, fromMs, untilMs: fromMs + forMs });
 }
 
-/** Notes that a gateway, or all of them, may not reach the store. */
-function noteStoreFault(
+/** Records that a gateway may not reach the store; all of them if `gateway` is undefined. */
+function recordStoreFault(
   { records, readNow }: soakFleet.SoakFleet,
   gateway: number | undefined,
   forMs: number,
@@ -93,18 +94,18 @@
   records.storeFaults.push({ gateway, fromMs, untilMs: fromMs + forMs + AFTER_MS });
 }
 
-/** Ends a gateway with a signal; it is started again after a time. */
-function endGateway(
+/** Stops a gateway with a signal and restarts it some time after its exit. */
+function stopGateway(
   fleet: soakFleet.SoakFleet,
   gateway: soakFleet.SoakGateway,
   signal: NodeJS.Signals,
   forMs: number,
 ): void {
   const { child } = gateway;
-  if (child === undefined || gateway.isEnding) {
+  if (child === undefined || gateway.isStopping) {
     return;
   }
-  gateway.isEnding = true;
+  gateway.isStopping = true;
   const { disturbances } = fleet.records;
   const servedMs = signal === 'SIGTERM' ? SERVED_AFTER_TERM_MS : 0;
   const fromMs = fleet.readNow() + servedMs;
@@ -119,21 +120,21 @@
   child.kill(signal);
 }
 
-/** Stands a gateway still for a time. */
+/** Suspends a gateway's process for a while. */
 function pauseGateway(
   fleet: soakFleet.SoakFleet,
   gateway: soakFleet.SoakGateway,
   forMs: number,
 ): void {
   const { child } = gateway;
-  noteDisturbance(fleet, gateway, forMs + AFTER_MS);
+  recordDisturbance(fleet, gateway, forMs + AFTER_MS);
   child?.kill('SIGSTOP');
   setTimeout(() => child?.kill('SIGCONT'), forMs);
 }
 
 /**
- * Tells whether the code of a process has begun to handle SIGHUP: in the first moments of
- * a process there is no code yet that could, and the signal ends any program.
+ * Whether a process has installed its SIGHUP handler. Shortly after its start it hasn't, and
+ * the signal's default action would terminate it.
  */
 function isReloadHandled(pid: number): boolean {
   const status = fs.readFileSync(`/proc/${pid}/status`, 'utf8');
@@ -141,80 +142,80 @@
   return caught.toString(2).at(-os.constants.signals.SIGHUP) === '1';
 }
 
-/** Tells a gateway that its settings have changed. */
-function applyReload({ child, isEnding }: soakFleet.SoakGateway): void {
-  if (child?.pid !== undefined && !isEnding && isReloadHandled(child.pid)) {
+/** Makes a gateway reload its settings. */
+function applyReload({ child, isStopping }: soakFleet.SoakGateway): void {
+  if (child?.pid !== undefined && !isStopping && isReloadHandled(child.pid)) {
     child.kill('SIGHUP');
   }
 }
 
-/** Holds a link up for a time. */
-function holdLink(link: forwarder.Forwarder, forMs: number): void {
+/** Delays all traffic on a link for a while. */
+function applyDelay(link: forwarder.Forwarder, forMs: number): void {
   link.setDelay(SLOW_MS);
   setTimeout(() => link.setDelay(0), forMs);
 }
 
-/** Lets nothing pass on a link for a time. */
-function closeLink(link: forwarder.Forwarder, forMs: number): void {
+/** Blocks a link for a while. */
+function pauseLink(link: forwarder.Forwarder, forMs: number): void {
   link.block();
   setTimeout(() => link.unblock(), forMs);
 }
 
-/** Puts the store into a mode for a time. */
+/** Switches the store to a failure mode for a while. */
 function setStoreMode(
   fleet: soakFleet.SoakFleet,
   mode: storeStandIn.StoreMode,
   forMs: number,
 ): void {
-  noteStoreFault(fleet, undefined, forMs);
+  recordStoreFault(fleet, undefined, forMs);
   fleet.store.setMode(mode);
   setTimeout(() => fleet.store.setMode(storeStandIn.StoreMode.SERVING), forMs);
 }
 
-/** Strikes a gateway or its links. */
+/** Applies a fault of a gateway or its links; does nothing for other kinds. */
 function applyToGateway(fleet: soakFleet.SoakFleet, { kind, forMs, target }: Fault): void {
   const gateway = fleet.gateways[Math.floor(target * fleet.gateways.length)];
-  const strikes: Partial<Record<FaultKind, () => void>> = {
-    [FaultKind.KILL]: () => endGateway(fleet, gateway, 'SIGKILL', forMs),
-    [FaultKind.TERM]: () => endGateway(fleet, gateway, 'SIGTERM', forMs),
+  const actions: Partial<Record<FaultKind, () => void>> = {
+    [FaultKind.KILL]: () => stopGateway(fleet, gateway, 'SIGKILL', forMs),
+    [FaultKind.TERM]: () => stopGateway(fleet, gateway, 'SIGTERM', forMs),
     [FaultKind.RELOAD]: () => applyReload(gateway),
     [FaultKind.FREEZE]: () => pauseGateway(fleet, gateway, forMs),
     [FaultKind.CALLERS_RESET]: () => {
-      noteDisturbance(fleet, gateway, AFTER_MS);
+      recordDisturbance(fleet, gateway, AFTER_MS);
       gateway.callers.reset();
     },
     [FaultKind.CALLERS_SILENT]: () => {
-      noteDisturbance(fleet, gateway, forMs + AFTER_MS);
+      recordDisturbance(fleet, gateway, forMs + AFTER_MS);
       gateway.callers.blackhole();
-      // Else a connection that rests would stay silent for good, and lose a call
-      // long after the fault is over.
+      // Otherwise an idle connection would stay silent for good and lose a call long after
+      // the fault is over.
       setTimeout(() => gateway.callers.reset(), forMs);
     },
     [FaultKind.CALLERS_SLOW]: () => {
-      noteDisturbance(fleet, gateway, forMs + AFTER_MS);
-      holdLink(gateway.callers, forMs);
+      recordDisturbance(fleet, gateway, forMs + AFTER_MS);
+      applyDelay(gateway.callers, forMs);
     },
     [FaultKind.STORE_LINK_BLOCKED]: () => {
-      noteStoreFault(fleet, gateway.index, forMs);
-      closeLink(gateway.store, forMs);
+      recordStoreFault(fleet, gateway.index, forMs);
+      pauseLink(gateway.store, forMs);
     },
     [FaultKind.STORE_LINK_RESET]: () => {
-      noteStoreFault(fleet, gateway.index, 0);
+      recordStoreFault(fleet, gateway.index, 0);
       gateway.store.reset();
     },
     [FaultKind.STORE_LINK_SILENT]: () => {
-      noteStoreFault(fleet, gateway.index, 0);
+      recordStoreFault(fleet, gateway.index, 0);
       gateway.store.blackhole();
     },
     [FaultKind.STORE_LINK_SLOW]: () => {
-      noteStoreFault(fleet, gateway.index, forMs);
-      holdLink(gateway.store, forMs);
+      recordStoreFault(fleet, gateway.index, forMs);
+      applyDelay(gateway.store, forMs);
     },
   };
-  strikes[kind]?.();
+  actions[kind]?.();
 }
 
-/** Crashes a backend server; it comes back under its id or under a new one. */
+/** Crashes a backend server and restarts it under the same id or a new one. */
 export function restartBackend(
   fleet: soakFleet.SoakFleet,
   backend: soakFleet.SoakBackend,
@@ -225,17 +226,17 @@
   const before = server.id;
   link.block();
   link.reset();
-  standInWire.removeServer(fleet.store, before);
+  platformFixtures.removeServer(fleet.store, before);
   setTimeout(() => {
     link.unblock();
-    backend.lives += 1;
+    backend.incarnations += 1;
     backend.bornMs = Date.now();
-    server.rename(isSameId ? before : `${before}.${backend.lives}`);
+    server.rename(isSameId ? before : `${before}.${backend.incarnations}`);
     soakFleet.publishBackend(fleet, backend);
   }, forMs);
 }
 
-/** Takes a backend server out of service for a time. */
+/** Marks a backend server as draining for a while. */
 function withdrawBackend(
   fleet: soakFleet.SoakFleet,
   backend: soakFleet.SoakBackend,
@@ -245,27 +246,27 @@
   setTimeout(() => soakFleet.publishBackend(fleet, backend), forMs);
 }
 
-/** Strikes a backend server, its link or its entry. */
+/** Applies a fault of a backend server, its link or its store entry. */
 function applyToBackend(fleet: soakFleet.SoakFleet, { kind, forMs, target }: Fault): void {
   const backend = fleet.backends[Math.floor(target * fleet.backends.length)];
   const { link, server } = backend;
-  const strikes: Partial<Record<FaultKind, () => void>> = {
+  const actions: Partial<Record<FaultKind, () => void>> = {
     [FaultKind.BACKEND_CRASH]: () => restartBackend(fleet, backend, forMs, false),
     [FaultKind.BACKEND_RESTART]: () => restartBackend(fleet, backend, forMs, true),
     [FaultKind.BACKEND_DRAIN]: () => withdrawBackend(fleet, backend, forMs),
     [FaultKind.BACKEND_RESET]: () => link.reset(),
     [FaultKind.BACKEND_SILENT]: () => link.blackhole(),
     [FaultKind.BACKEND_ANSWERS_CUT]: () => link.dropResponses(),
-    [FaultKind.BACKEND_SLOW]: () => holdLink(link, forMs),
+    [FaultKind.BACKEND_SLOW]: () => applyDelay(link, forMs),
     [FaultKind.ENTRY_UNREADABLE]: () => {
-      standInWire.writeMalformedEntry(fleet.store, server.id);
+      platformFixtures.writeMalformedEntry(fleet.store, server.id);
       setTimeout(() => soakFleet.publishBackend(fleet, backend), forMs);
     },
   };
-  strikes[kind]?.();
+  actions[kind]?.();
 }
 
-/** Takes a key away; another one of its workspace stays. */
+/** Revokes a key and issues another one for its workspace. */
 function withdrawKey(fleet: soakFleet.SoakFleet, target: number): void {
   const at = Math.floor(target * fleet.credentials.length);
   const [{ credential, workspace }] = fleet.credentials.splice(at, 1);
@@ -274,10 +275,10 @@
   fleet.records.revocations.push({ credential, atMs: fleet.readNow() });
 }
 
-/** Strikes the store or what stands in it. */
+/** Applies a fault of the store or a change of its contents. */
 function applyToStore(fleet: soakFleet.SoakFleet, { kind, forMs, target }: Fault): void {
   const { REFUSING, SILENT } = storeStandIn.StoreMode;
-  const strikes: Partial<Record<FaultKind, () => void>> = {
+  const actions: Partial<Record<FaultKind, () => void>> = {
     [FaultKind.STORE_REFUSING]: () => setStoreMode(fleet, REFUSING, forMs),
     [FaultKind.STORE_SILENT]: () => setStoreMode(fleet, SILENT, forMs),
     [FaultKind.STORE_HISTORY_GONE]: () => fleet.store.dropHistory(),
@@ -285,10 +286,10 @@
     [FaultKind.CONFIGURATIONS]: () =>
       Array.from({ length: SERIES }, () => soakFleet.publishConfiguration(fleet)),
   };
-  strikes[kind]?.();
+  actions[kind]?.();
 }
 
-/** Puts one fault in; it is taken away by itself. */
+/** Injects a fault; timers undo it. */
 export function applyFault(fleet: soakFleet.SoakFleet, fault: Fault): void {
   applyToGateway(fleet, fault);
   applyToBackend(fleet, fault);
--- a/packages/proofs/src/soak/soak-fleet.ts
+++ b/packages/proofs/src/soak/soak-fleet.ts
@@ -1,4 +1,7 @@
-/** Real gateways as processes, with a store, backend servers and links that can be spoilt. */
+/**
+ * Fleet of the soak test: real gateway processes, with a stand-in store, stand-in backend
+ * servers and links that faults can disturb.
+ */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -6,7 +9,7 @@
 import * as timers from 'node:timers/promises';
 import * as url from 'node:url';
 import * as freePort from '@toucanproxy/platform/mocks/free-port';
-import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
+import * as platformFixtures from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as storeStandIn from '@toucanproxy/platform/mocks/store-stand-in';
 import * as forwarder from '../mocks/forwarder.js';
 import type * as randomSource from '../mocks/random-source.js';
@@ -14,14 +17,14 @@
 import * as soakRecords from './soak-records.js';
 import * as soakServer from './soak-server.js';
 
-/** One gateway: its process, and the links that callers and it use. */
+/** A gateway process with its links from callers and to the store. */
 export type SoakGateway = {
   index: number;
   settingsFile: string;
   logFile: string;
   child: childProcess.ChildProcess | undefined;
-  /** Something is being done to it that ends it. */
-  isEnding: boolean;
+  /** A fault or the end of the run is stopping the process, so that its exit is expected. */
+  isStopping: boolean;
   callers: forwarder.Forwarder;
   store: forwarder.Forwarder;
 };
@@ -29,8 +32,8 @@
 export type SoakBackend = {
   server: soakServer.SoakServer;
   link: forwarder.Forwarder;
-  /** Lives so far, and the start of the present one, milliseconds since the Unix epoch. */
-  lives: number;
+  /** Number of incarnations, and the start of the latest, milliseconds since the Unix epoch. */
+  incarnations: number;
   bornMs: number;
   failureDomain: string;
 };
@@ -45,50 +48,50 @@
   backends: SoakBackend[];
   version: number;
   probes: number;
-  /** Keys in force, and the workspaces that hold them. */
+  /** Valid API keys and the workspaces they belong to. */
   credentials: { credential: string; workspace: string }[];
 };
 
 export const REVOCATION_MS = 2000;
-/** A failure domain that is evacuated gets nothing new after this time, milliseconds. */
+/** An evacuated failure domain gets no new requests after this time, milliseconds. */
 export const EVACUATION_MS = 2500;
 export const RETRY_RATIO = 0.2;
 export const RETRY_EXTRA = 30;
-/** Time that a gateway has for a graceful end, seconds. */
+/** Time that a gateway has for a graceful shutdown, seconds. */
 export const GRACE_S = 5;
-/** Deadline of a call that asks whether a gateway serves, and the pause after it, ms. */
+/** Deadline of a probe call, and the pause before the next, milliseconds. */
 const PROBE_MS = 2000;
 const PROBE_PAUSE_MS = 100;
-/** Time in which a gateway serves at the latest, once nothing is done to it, ms. */
+/** A gateway must serve within this time once nothing disturbs it, milliseconds. */
 const RECOVER_MS = 30_000;
 const PROGRAM = url
   .fileURLToPath(import.meta.resolve('@toucanproxy/platform'))
   .replace(/index\.js$/, 'main.js');
 
-/** Last part of the loopback address of the first gateway. */
+/** Last octet of the first gateway's loopback address. */
 const FIRST_PEER_HOST = 11;
 
-/** Failure domains over which the backend servers are spread in turn. */
+/** Number of failure domains; backend servers are assigned to them round-robin. */
 export const DOMAINS = 2;
 
-/** Names a failure domain by its number. */
+/** Returns the name of the failure domain with this index. */
 export function formatDomain(index: number): string {
   return `zone-${index + 1}`;
 }
 
-/** Writes the next configuration. */
+/** Writes the next version of the configuration to the store. */
 export function publishConfiguration(fleet: SoakFleet): void {
   fleet.version += 1;
-  standInWire.writeCredentials(fleet.store, fleet.version, fleet.credentials);
+  platformFixtures.writeCredentials(fleet.store, fleet.version, fleet.credentials);
 }
 
-/** Writes the entry of a backend server. */
+/** Writes the store entry of a backend server. */
 export function publishBackend(
   fleet: SoakFleet,
   backend: SoakBackend,
-  state: standInWire.BackendServerSpec['state'] = 'ready',
+  state: platformFixtures.BackendServerSpec['state'] = 'ready',
 ): void {
-  standInWire.writeServer(fleet.store, {
+  platformFixtures.writeServer(fleet.store, {
     id: backend.server.id,
     address: `127.0.0.1:${backend.link.port}`,
     slots: soakServer.SLOTS,
@@ -98,7 +101,7 @@
   });
 }
 
-/** Starts the process of a gateway. */
+/** Starts a gateway's process. */
 export function startGateway(fleet: SoakFleet, gateway: SoakGateway): void {
   const log = fs.openSync(gateway.logFile, 'a');
   const child = childProcess.spawn(process.execPath, [PROGRAM], {
@@ -107,29 +110,29 @@
   });
   fs.closeSync(log);
   gateway.child = child;
-  gateway.isEnding = false;
+  gateway.isStopping = false;
   child.on('exit', (code) => {
-    if (gateway.child === child && !gateway.isEnding) {
-      fleet.records.unexpectedEnds.push({ gateway: gateway.index, atMs: fleet.readNow(), code });
+    if (gateway.child === child && !gateway.isStopping) {
+      fleet.records.unexpectedExits.push({ gateway: gateway.index, atMs: fleet.readNow(), code });
     }
   });
 }
 
-/** Where gateways reach each other: an address each, and one port for all. */
+/** Addresses at which gateways reach each other, all on the same port. */
 type PeerPlan = { addresses: string[]; port: number };
 
-/** Builds the loopback address that a gateway is known by among its peers. */
+/** Builds the loopback address at which a gateway's peers reach it. */
 function buildPeerAddress(index: number): string {
   return `127.0.0.${FIRST_PEER_HOST + index}`;
 }
 
-/** Prepares a gateway: its ports, links and settings. */
+/** Prepares a gateway's ports, links and settings; doesn't start its process. */
 async function addGateway(fleet: SoakFleet, index: number, peers: PeerPlan): Promise<void> {
   const [frontend, readiness] = [await freePort.findPort(), await freePort.findPort()];
   const store = await forwarder.startForwarder(fleet.store.port);
   const callers = await forwarder.startForwarder(frontend);
   const settingsFile = path.join(fleet.folder, `gateway-${index}.json`);
-  const settings = standInWire.buildSettings({
+  const settings = platformFixtures.buildSettings({
     name: `edge-${index}`,
     storePort: store.port,
     callers: `127.0.0.1:${frontend}`,
@@ -145,21 +148,21 @@
   });
   fs.writeFileSync(settingsFile, settings);
   const logFile = path.join(fleet.folder, `gateway-${index}.log`);
-  const parts = { child: undefined, isEnding: false, callers, store };
+  const parts = { child: undefined, isStopping: false, callers, store };
   fleet.gateways.push({ index, settingsFile, logFile, ...parts });
 }
 
-/** Starts a backend server with its link. */
+/** Starts a backend server and the link to it. */
 async function addBackend(fleet: SoakFleet, index: number): Promise<void> {
   const { draw, records, readNow } = fleet;
   const failureDomain = formatDomain(index % DOMAINS);
   const id = `server-${index}`;
   const server = await soakServer.startSoakServer(id, failureDomain, draw, records, readNow);
   const link = await forwarder.startForwarder(server.port);
-  fleet.backends.push({ server, link, lives: 1, bornMs: Date.now(), failureDomain });
+  fleet.backends.push({ server, link, incarnations: 1, bornMs: Date.now(), failureDomain });
 }
 
-/** Asks a gateway for one answer; true where it serves. */
+/** Sends a probe call through a gateway; true if it succeeds. */
 async function testService(fleet: SoakFleet, { index, callers }: SoakGateway): Promise<boolean> {
   fleet.probes += 1;
   const call = {
@@ -171,11 +174,11 @@
     gateway: index,
     deadlineMs: PROBE_MS,
   };
-  const { answer } = await soakCall.makeCall(fleet, call, callers.port, undefined);
-  return answer?.status === 200;
+  const { response } = await soakCall.makeCall(fleet, call, callers.port, undefined);
+  return response?.status === 200;
 }
 
-/** Waits until a gateway serves; false where it does not within the time. */
+/** Waits until a gateway serves; false if it doesn't within the time. */
 export async function waitForGateway(
   fleet: SoakFleet,
   gateway: SoakGateway,
@@ -190,7 +193,7 @@
   return serving;
 }
 
-/** Waits until all gateways serve; false where one does not. */
+/** Waits until all gateways serve; false if one of them doesn't in time. */
 export async function waitForService(fleet: SoakFleet): Promise<boolean> {
   const serving = await Promise.all(
     fleet.gateways.map((gateway) => waitForGateway(fleet, gateway)),
@@ -198,7 +201,7 @@
   return serving.every(Boolean);
 }
 
-/** Starts a fleet. */
+/** Starts the store, the backend servers and the gateways. */
 export async function startFleet(
   draw: randomSource.DrawRandom,
   sizes: { gateways: number; backends: number },
@@ -229,10 +232,10 @@
   return fleet;
 }
 
-/** Ends everything that a fleet started. */
+/** Stops everything that a fleet started. */
 export function stopFleet(fleet: SoakFleet): void {
   fleet.gateways.forEach((gateway) => {
-    gateway.isEnding = true;
+    gateway.isStopping = true;
     gateway.child?.kill('SIGKILL');
     gateway.callers.stop();
     gateway.store.stop();
--- a/packages/proofs/src/soak/soak-records.ts
+++ b/packages/proofs/src/soak/soak-records.ts
@@ -1,4 +1,4 @@
-/** What the callers and the backend servers of a soak have seen. */
+/** Records of what the callers and the backend servers of the soak test observed. */
 
 export enum CallKind {
   SAFE = 'safe',
@@ -7,7 +7,7 @@
   RESUMABLE = 'resumable',
 }
 
-/** One try of a caller. */
+/** One call by a caller. */
 export type CallRecord = {
   id: string;
   kind: CallKind;
@@ -18,51 +18,51 @@
   gateway: number;
   sentMs: number;
   deadlineMs: number;
-  /** When the caller left by itself, milliseconds; 0 where it stayed. */
-  leftMs: number;
-  /** When its answer or its connection ended, milliseconds; 0 while it has not. */
+  /** When the caller disconnected early, milliseconds; 0 if it did not. */
+  disconnectedMs: number;
+  /** When the response or the connection ended, milliseconds; 0 until then. */
   endedMs: number;
-  /** Undefined where the connection ended without an answer. */
-  answer: CallAnswer | undefined;
+  /** Undefined if the connection ended without a response. */
+  response: CallResponse | undefined;
 };
 
-export type CallAnswer = {
+export type CallResponse = {
   status: number;
   body: string;
   isSigned: boolean;
-  /** Ended as HTTP says that a whole answer ends. */
-  isWhole: boolean;
+  /** The response ended as HTTP framing requires of a complete one. */
+  isComplete: boolean;
 };
 
-/** One request that a backend server began to work on. */
+/** One request that a backend server started to process. */
 export type RunRecord = {
   id: string;
   server: string;
-  /** Where that backend server is. */
+  /** Failure domain of that backend server. */
   failureDomain: string;
   method: string;
   path: string;
   body: string;
   workspace: string;
   hasCredential: boolean;
-  /** Id of the event after which a stream goes on; 0 for its start. */
+  /** Id of the event after which a stream resumes; 0 for its beginning. */
   resumeAfter: number;
   atMs: number;
 };
 
-/** A key that was taken away, and when the store had said so. */
+/** A revoked key, and when the store had the revocation. */
 export type RevocationRecord = { credential: string; atMs: number };
 
-/** A failure domain that was evacuated, from and until when the store had said so. */
+/** An evacuated failure domain, and the period for which the store listed it as evacuated. */
 export type EvacuationRecord = { failureDomain: string; fromMs: number; untilMs: number };
 
-/** A rate limit that a backend server named, and the requests that it got meanwhile. */
+/** A rate limit that a backend server announced, and the requests that it got meanwhile. */
 export type LimitRecord = {
   server: string;
   perSecond: number;
-  /** Requests that reached it, and those whose answers named the limit, by their ids. */
+  /** Ids of requests that reached it, and of those whose responses announced the limit. */
   arrivals: { id: string; atMs: number }[];
-  told: { id: string; atMs: number }[];
+  announced: { id: string; atMs: number }[];
 };
 
 export enum StatementKind {
@@ -74,31 +74,31 @@
 export type StatementRecord = {
   kind: StatementKind;
   server: string;
-  /** Time for which it asked to get nothing, milliseconds; unused where it leaves. */
+  /** Backoff that it asked for, milliseconds; unused if it is leaving. */
   backoffMs: number;
-  /** Requests that reached it, and those whose answers stated it, by their ids. */
+  /** Ids of requests that reached it, and of those whose responses carried the statement. */
   arrivals: { id: string; atMs: number }[];
-  told: { id: string; atMs: number }[];
+  announced: { id: string; atMs: number }[];
 };
 
-/** A process that ended though nothing had been done to it. */
-export type UnexpectedEnd = { gateway: number; atMs: number; code: number | null };
+/** The exit of a gateway process that nothing had stopped. */
+export type UnexpectedExit = { gateway: number; atMs: number; code: number | null };
 
 export type SoakRecords = {
   calls: CallRecord[];
   runs: RunRecord[];
-  /** Times at which a request reached a backend server, run or not, by its id. */
+  /** Times at which a request reached a backend server, run or not, by request id. */
   arrivals: Map<string, number[]>;
   revocations: RevocationRecord[];
   evacuations: EvacuationRecord[];
   limits: LimitRecord[];
   statements: StatementRecord[];
-  /** Times from the return of the store to the last write that it had lost, milliseconds. */
+  /** Periods from a restore of the store until its lost changes were rewritten, milliseconds. */
   storeGaps: { fromMs: number; untilMs: number }[];
-  unexpectedEnds: UnexpectedEnd[];
-  /** Times in which something was done to a gateway or its links, milliseconds. */
+  unexpectedExits: UnexpectedExit[];
+  /** Periods in which a fault affected a gateway or its links, milliseconds. */
   disturbances: { gateway: number; fromMs: number; untilMs: number }[];
-  /** Times in which a gateway, or all where it is undefined, may not reach the store. */
+  /** Periods in which a gateway, or all if undefined, may not reach the store. */
   storeFaults: { gateway: number | undefined; fromMs: number; untilMs: number }[];
 };
 
@@ -113,21 +113,21 @@
     limits: [],
     statements: [],
     storeGaps: [],
-    unexpectedEnds: [],
+    unexpectedExits: [],
     disturbances: [],
     storeFaults: [],
   };
 }
 
-/** Events of one stream. */
+/** Number of events in one stream. */
 export const STREAM_EVENTS = 6;
 
-/** Builds one event of a stream; all runs of a request make the same ones. */
+/** Builds one event of a stream; every run of a request produces the same events. */
 export function buildEvent(id: string, number: number): string {
   return `id: ${number}\ndata: ${id} ${number}\n\n`;
 }
 
-/** Builds the whole body that a caller must get. */
+/** Builds the complete body that a caller must receive. */
 export function buildExpectedBody(call: Pick<CallRecord, 'id' | 'kind' | 'workspace'>): string {
   if (call.kind === CallKind.STREAM || call.kind === CallKind.RESUMABLE) {
     const numbers = Array.from({ length: STREAM_EVENTS }, (_, index) => index + 1);
--- a/packages/proofs/src/soak/soak-series.ts
+++ b/packages/proofs/src/soak/soak-series.ts
@@ -1,16 +1,16 @@
-/** Things that a soak does one after the other, with pauses in between. */
+/** Repeats an action of the soak test with random pauses. */
 import * as timers from 'node:timers/promises';
 import * as randomSource from '../mocks/random-source.js';
 
-/** Does something a number of times; the pause before each is drawn. */
+/** Runs an action `count` times in sequence, each after a random pause. */
 export async function runSeries(
   draw: randomSource.DrawRandom,
   count: number,
-  longestPauseMs: number,
+  maxPauseMs: number,
   act: (index: number) => Promise<void>,
 ): Promise<void> {
   for (let index = 0; index < count; index += 1) {
-    await timers.setTimeout(randomSource.drawBetween(draw, 0, longestPauseMs));
+    await timers.setTimeout(randomSource.drawBetween(draw, 0, maxPauseMs));
     await act(index);
   }
 }
--- a/packages/proofs/src/soak/soak-server.ts
+++ b/packages/proofs/src/soak/soak-server.ts
@@ -1,18 +1,21 @@
-/** A backend server of a soak: answers well, badly or not at all, and may crash. */
+/**
+ * A backend server of the soak test. Some of its responses are slow, truncated, failed or
+ * unframed, and it can announce rate limits and statements about itself.
+ */
 import type * as net from 'node:net';
-import * as runnerStandIn from '@toucanproxy/platform/mocks/backend-server-stand-in';
-import * as standInWire from '@toucanproxy/platform/mocks/platform-fixtures';
+import * as backendServerStandIn from '@toucanproxy/platform/mocks/backend-server-stand-in';
+import * as platformFixtures from '@toucanproxy/platform/mocks/platform-fixtures';
 import * as randomSource from '../mocks/random-source.js';
 import * as soakRecords from './soak-records.js';
 
 export type SoakServer = {
   id: string;
   port: number;
-  /** Takes the id of a new life; requests for another one are answered 421. */
+  /** Starts a new incarnation under an id; requests for any other id are answered with 421. */
   rename: (id: string) => void;
-  /** Names a rate limit in all answers from now on, or none. */
+  /** Announces a rate limit in all responses from now on; none if undefined. */
   setLimit: (limit: soakRecords.LimitRecord | undefined) => void;
-  /** States something about itself from now on, or nothing. */
+  /** Makes a statement about itself in responses from now on; none if undefined. */
   setStatement: (statement: soakRecords.StatementRecord | undefined) => void;
   stop: () => void;
 };
@@ -28,26 +31,27 @@
   statement: soakRecords.StatementRecord | undefined;
 };
 
-/** Requests that it works on at once. */
+/** Requests that it processes concurrently. */
 export const SLOTS = 4;
-/** Share of requests that end badly, by the way in which they do. */
+/** Shares of requests that fail, have a truncated response, or are slow. */
 const FAILED_SHARE = 0.03;
-const CUT_SHARE = 0.03;
+const TRUNCATED_SHARE = 0.03;
 const SLOW_SHARE = 0.05;
-/** Share of requests that one refuses which asks for a backoff. */
+/** Share of requests that it refuses while it asks for a backoff. */
 const REFUSED_SHARE = 0.8;
+/** Share of plain responses without a Content-Length header, ended by closing the connection. */
 const UNFRAMED_SHARE = 0.03;
 const WORK_MS = 15;
 const SLOW_MS = 400;
 const EVENT_MS = 10;
 
-/** Notes a request that begins to run. */
-function noteRun(
+/** Records a request that starts to run. */
+function recordRun(
   state: ServerState,
-  request: runnerStandIn.ReceivedRequest,
+  request: backendServerStandIn.ReceivedRequest,
 ): soakRecords.RunRecord {
   const { attemptId, workspace, hasCredential, resumeAfter } =
-    standInWire.parseForwardedRequest(request);
+    platformFixtures.parseForwardedRequest(request);
   const [method, path] = request.requestLine.split(' ');
   const run = {
     id: attemptId,
@@ -65,46 +69,48 @@
   return run;
 }
 
-/** Adds what it states to the head of an answer, and notes that its gateway was told. */
-function addStatements(state: ServerState, id: string, answer: string): string {
+/** Adds the announced limit and statement to a response's headers and records that it did. */
+function addStatements(state: ServerState, id: string, response: string): string {
   const { limit, statement, readNow } = state;
   const isLeaving = statement?.kind === soakRecords.StatementKind.LEAVING;
-  limit?.told.push({ id, atMs: readNow() });
+  limit?.announced.push({ id, atMs: readNow() });
   if (isLeaving) {
-    statement.told.push({ id, atMs: readNow() });
+    statement.announced.push({ id, atMs: readNow() });
   }
-  const limited = limit ? standInWire.addRateLimitHeader(answer, limit.perSecond) : answer;
-  return isLeaving ? standInWire.addLeavingHeader(limited) : limited;
+  const limited = limit ? platformFixtures.addRateLimitHeader(response, limit.perSecond) : response;
+  return isLeaving ? platformFixtures.addLeavingHeader(limited) : limited;
 }
 
-/** Refuses a request as it wants nothing for a while; false where it takes it. */
+/** Refuses a request with a backoff if one is stated; false if the request is to be processed. */
 function refuseWithBackoff(
   { statement, draw, readNow }: ServerState,
-  request: runnerStandIn.ReceivedRequest,
+  request: backendServerStandIn.ReceivedRequest,
   socket: net.Socket,
 ): boolean {
   const isAsking = statement?.kind === soakRecords.StatementKind.BACKOFF;
   if (!isAsking || draw() >= REFUSED_SHARE) {
     return false;
   }
-  const { attemptId: id } = standInWire.parseForwardedRequest(request);
-  statement.told.push({ id, atMs: readNow() });
-  socket.write(standInWire.buildBackoffResponse(request, statement.backoffMs));
+  const { attemptId: id } = platformFixtures.parseForwardedRequest(request);
+  statement.announced.push({ id, atMs: readNow() });
+  socket.write(platformFixtures.buildBackoffResponse(request, statement.backoffMs));
   return true;
 }
 
-/** Sends the events of a stream; one that is to be cut ends inside an event. */
+/** Sends the events of a stream; a truncated one is reset in the middle of an event. */
 function sendEvents(
   run: soakRecords.RunRecord,
   socket: net.Socket,
-  cutAfter: number,
+  truncateAfter: number,
   end: () => void,
 ): void {
   let number = run.resumeAfter;
   const sendNext = () => {
     number += 1;
-    if (socket.destroyed || number > cutAfter) {
-      socket.write(runnerStandIn.buildChunk(soakRecords.buildEvent(run.id, number).slice(0, 7)));
+    if (socket.destroyed || number > truncateAfter) {
+      socket.write(
+        backendServerStandIn.buildChunk(soakRecords.buildEvent(run.id, number).slice(0, 7)),
+      );
       socket.resetAndDestroy();
       end();
       return;
@@ -114,66 +120,66 @@
       end();
       return;
     }
-    socket.write(runnerStandIn.buildChunk(soakRecords.buildEvent(run.id, number)));
+    socket.write(backendServerStandIn.buildChunk(soakRecords.buildEvent(run.id, number)));
     setTimeout(sendNext, EVENT_MS);
   };
   sendNext();
 }
 
-/** Sends a plain answer: whole, cut, failed or without a length. */
+/** Sends a plain response: complete, truncated, failed or without a length. */
 function sendPlain(
   state: ServerState,
-  request: runnerStandIn.ReceivedRequest,
+  request: backendServerStandIn.ReceivedRequest,
   socket: net.Socket,
   run: soakRecords.RunRecord,
 ): void {
-  const luck = state.draw();
-  const whole = runnerStandIn.buildResponse(request, `${run.id} for ${run.workspace}`);
-  const answer = addStatements(state, run.id, whole);
-  if (luck < FAILED_SHARE) {
-    socket.write(standInWire.buildFailedResponse(request));
-  } else if (luck < FAILED_SHARE + CUT_SHARE) {
-    socket.write(answer.slice(0, -3), () => socket.resetAndDestroy());
-  } else if (luck < FAILED_SHARE + CUT_SHARE + UNFRAMED_SHARE) {
-    socket.end(answer.replace(/Content-Length: \d+\r\n/, ''));
+  const chance = state.draw();
+  const whole = backendServerStandIn.buildResponse(request, `${run.id} for ${run.workspace}`);
+  const response = addStatements(state, run.id, whole);
+  if (chance < FAILED_SHARE) {
+    socket.write(platformFixtures.buildFailedResponse(request));
+  } else if (chance < FAILED_SHARE + TRUNCATED_SHARE) {
+    socket.write(response.slice(0, -3), () => socket.resetAndDestroy());
+  } else if (chance < FAILED_SHARE + TRUNCATED_SHARE + UNFRAMED_SHARE) {
+    socket.end(response.replace(/Content-Length: \d+\r\n/, ''));
   } else {
-    socket.write(answer);
+    socket.write(response);
   }
 }
 
-/** Works on one request. */
+/** Handles one request. */
 function serve(
   state: ServerState,
-  request: runnerStandIn.ReceivedRequest,
+  request: backendServerStandIn.ReceivedRequest,
   socket: net.Socket,
 ): void {
-  const { attemptId: id, serverId } = standInWire.parseForwardedRequest(request);
+  const { attemptId: id, serverId } = platformFixtures.parseForwardedRequest(request);
   const { arrivals } = state.records;
   arrivals.set(id, [...(arrivals.get(id) ?? []), state.readNow()]);
   state.limit?.arrivals.push({ id, atMs: state.readNow() });
   state.statement?.arrivals.push({ id, atMs: state.readNow() });
   if (serverId !== state.id) {
-    socket.write(standInWire.buildMisdirectedResponse(request));
+    socket.write(platformFixtures.buildMisdirectedResponse(request));
     return;
   }
   if (refuseWithBackoff(state, request, socket)) {
     return;
   }
   if (state.active >= SLOTS) {
-    socket.write(runnerStandIn.buildNotRunResponse(request));
+    socket.write(backendServerStandIn.buildNotRunResponse(request));
     return;
   }
   state.active += 1;
-  const run = noteRun(state, request);
+  const run = recordRun(state, request);
   const end = () => {
     state.active -= 1;
   };
   setTimeout(
     () => {
       if (run.path.startsWith('/stream/') || run.path.startsWith('/resumable/')) {
-        const isCut = state.draw() < CUT_SHARE;
-        socket.write(addStatements(state, id, runnerStandIn.buildStreamHead(request)));
-        sendEvents(run, socket, isCut ? run.resumeAfter + 2 : Infinity, end);
+        const isTruncated = state.draw() < TRUNCATED_SHARE;
+        socket.write(addStatements(state, id, backendServerStandIn.buildStreamHead(request)));
+        sendEvents(run, socket, isTruncated ? run.resumeAfter + 2 : Infinity, end);
       } else {
         sendPlain(state, request, socket, run);
         end();
@@ -183,7 +189,7 @@
   );
 }
 
-/** Starts a backend server. */
+/** Starts a backend server of the soak test. */
 export async function startSoakServer(
   id: string,
   failureDomain: string,
@@ -191,7 +197,7 @@
   records: soakRecords.SoakRecords,
   readNow: () => number,
 ): Promise<SoakServer> {
-  const runner = await runnerStandIn.startBackendServerStandIn();
+  const runner = await backendServerStandIn.startBackendServerStandIn();
   const facts = { id, failureDomain, draw, records, readNow };
   const state: ServerState = { ...facts, active: 0, limit: undefined, statement: undefined };
   runner.setRequestHandler((request, socket) => serve(state, request, socket));
--- a/packages/proofs/src/soak/soak-statement-checks.ts
+++ b/packages/proofs/src/soak/soak-statement-checks.ts
@@ -1,35 +1,41 @@
-/** Whether gateways of a soak kept to what backend servers had stated. */
+/** Checks that gateways of the soak test respected what backend servers stated. */
 import * as soakRecords from './soak-records.js';
 
-export type BrokenStatement = { promise: string; detail: string };
+export type StatementViolation = { guarantee: string; detail: string };
 
-/** A request was decided on before the answer was known where it is not older than this, ms. */
+/**
+ * A call sent within this time after a gateway learned of a statement may still have been
+ * scheduled without it, milliseconds.
+ */
 const LEAVING_SLACK_MS = 100;
-/** Requests on their way when a refusal comes arrive within this time, milliseconds. */
-const ON_WAY_MS = 500;
-/** A backoff runs from the arrival of the refusal, some time after its sending, milliseconds. */
+/** Requests in transit when a gateway receives a refusal arrive within this time, milliseconds. */
+const IN_TRANSIT_MS = 500;
+/** Tolerance at the end of a backoff, whose start differs between the two ends, milliseconds. */
 const ARRIVAL_MS = 50;
-/** Requests that may reach a backend server within a backoff. */
-const MOST_WITHIN_BACKOFF = 2;
+/** Requests that may reach a backend server from one gateway within a backoff. */
+const MAX_WITHIN_BACKOFF = 2;
 
-/** A gateway that is known to have read a statement: when it was sent, and read at the latest. */
-type KnownStatement = { gateway: number; toldMs: number; knownMs: number };
+/** A gateway that has read a statement: when that was sent, and by when it was read. */
+type InformedGateway = { gateway: number; announcedMs: number; informedMs: number };
 
-/** Lists the gateways that have passed an answer on, or have tried the request elsewhere. */
-function listKnown(
-  { told }: soakRecords.StatementRecord,
+/**
+ * Lists the gateways that must have read a statement, as the call whose response carried it
+ * has ended with 200 or 503.
+ */
+function listInformedGateways(
+  { announced }: soakRecords.StatementRecord,
   callById: ReadonlyMap<string, soakRecords.CallRecord>,
-): KnownStatement[] {
-  return told.flatMap(({ id, atMs: toldMs }) => {
+): InformedGateway[] {
+  return announced.flatMap(({ id, atMs: announcedMs }) => {
     const call = callById.get(id);
-    const isRead = call?.answer?.status === 200 || call?.answer?.status === 503;
+    const isRead = call?.response?.status === 200 || call?.response?.status === 503;
     return call !== undefined && isRead && call.endedMs > 0
-      ? [{ gateway: call.gateway, toldMs, knownMs: call.endedMs }]
+      ? [{ gateway: call.gateway, announcedMs, informedMs: call.endedMs }]
       : [];
   });
 }
 
-/** Tells whether something was done to a gateway within a time. */
+/** Whether a gateway was disturbed within a period. */
 function isExcused(
   { disturbances }: soakRecords.SoakRecords,
   gateway: number,
@@ -41,51 +47,54 @@
   );
 }
 
-/** Nothing new comes from a gateway that knows that a backend server leaves. */
+/** Checks that a gateway that knows a backend server is leaving sends it no new requests. */
 function checkLeaving(
   records: soakRecords.SoakRecords,
   statement: soakRecords.StatementRecord,
   callById: ReadonlyMap<string, soakRecords.CallRecord>,
-): BrokenStatement[] {
+): StatementViolation[] {
   const { server, arrivals } = statement;
-  const allKnown = listKnown(statement, callById);
+  const informed = listInformedGateways(statement, callById);
   return arrivals.flatMap(({ id, atMs }) => {
     const call = callById.get(id);
-    const isBroken = allKnown.some(
-      ({ gateway, toldMs, knownMs }) =>
+    const isBroken = informed.some(
+      ({ gateway, announcedMs, informedMs }) =>
         gateway === call?.gateway &&
-        call.sentMs > knownMs + LEAVING_SLACK_MS &&
-        !isExcused(records, gateway, toldMs, atMs),
+        call.sentMs > informedMs + LEAVING_SLACK_MS &&
+        !isExcused(records, gateway, announcedMs, atMs),
     );
     const detail = JSON.stringify({ server, id, atMs, gateway: call?.gateway });
-    return isBroken ? [{ promise: 'nothing to a server that leaves', detail }] : [];
+    return isBroken ? [{ guarantee: 'no requests to a leaving server', detail }] : [];
   });
 }
 
-/** Hardly anything comes within a backoff from the gateway that was asked for it. */
+/** Checks that a gateway asked for a backoff sends at most a few requests within it. */
 function checkBackoff(
   records: soakRecords.SoakRecords,
   statement: soakRecords.StatementRecord,
   callById: ReadonlyMap<string, soakRecords.CallRecord>,
-): BrokenStatement[] {
+): StatementViolation[] {
   const { server, backoffMs, arrivals } = statement;
-  return listKnown(statement, callById).flatMap(({ gateway, toldMs, knownMs }) => {
-    const untilMs = toldMs + backoffMs - ARRIVAL_MS;
-    const isWithin = (atMs: number) => atMs > knownMs + ON_WAY_MS && atMs < untilMs;
-    const count = arrivals.filter(
-      ({ id, atMs }) => isWithin(atMs) && callById.get(id)?.gateway === gateway,
-    ).length;
-    const isBroken = count > MOST_WITHIN_BACKOFF && !isExcused(records, gateway, toldMs, untilMs);
-    const detail = JSON.stringify({ server, gateway, toldMs, backoffMs, count });
-    return isBroken ? [{ promise: 'nothing within a backoff', detail }] : [];
-  });
+  return listInformedGateways(statement, callById).flatMap(
+    ({ gateway, announcedMs, informedMs }) => {
+      const untilMs = announcedMs + backoffMs - ARRIVAL_MS;
+      const isWithin = (atMs: number) => atMs > informedMs + IN_TRANSIT_MS && atMs < untilMs;
+      const count = arrivals.filter(
+        ({ id, atMs }) => isWithin(atMs) && callById.get(id)?.gateway === gateway,
+      ).length;
+      const isBroken =
+        count > MAX_WITHIN_BACKOFF && !isExcused(records, gateway, announcedMs, untilMs);
+      const detail = JSON.stringify({ server, gateway, announcedMs, backoffMs, count });
+      return isBroken ? [{ guarantee: 'no requests within a backoff', detail }] : [];
+    },
+  );
 }
 
-/** Checks what came after each statement. */
+/** Checks the requests that followed each statement. */
 export function checkStatements(
   records: soakRecords.SoakRecords,
   callById: ReadonlyMap<string, soakRecords.CallRecord>,
-): BrokenStatement[] {
+): StatementViolation[] {
   return records.statements.flatMap((statement) =>
     statement.kind === soakRecords.StatementKind.LEAVING
       ? checkLeaving(records, statement, callById)
--- a/packages/proofs/src/soak/soak.test.ts
+++ b/packages/proofs/src/soak/soak.test.ts
@@ -3,8 +3,8 @@
 import * as nodeTest from 'node:test';
 import * as runSoak from './run-soak.js';
 
-/** Plays one seed with few processes and expects that all promises are kept. */
-async function expectKept(
+/** Runs one seed with few processes and expects no violation of a guarantee. */
+async function expectNoViolations(
   seed: number,
   { evacuations = 0, limits = 0, epochs = 0, statements = 0 },
 ): Promise<void> {
@@ -26,17 +26,17 @@
   fs.rmSync(report.folder, { recursive: true });
 }
 
-nodeTest.test('promises hold under faults from outside, seed 1', () => expectKept(1, {}));
-nodeTest.test('promises hold under faults from outside, seed 2', () => expectKept(2, {}));
-nodeTest.test('promises hold while domains are evacuated, seed 3', () =>
-  expectKept(3, { evacuations: 2 }),
+nodeTest.test('guarantees hold under faults from outside, seed 1', () => expectNoViolations(1, {}));
+nodeTest.test('guarantees hold under faults from outside, seed 2', () => expectNoViolations(2, {}));
+nodeTest.test('guarantees hold while domains are evacuated, seed 3', () =>
+  expectNoViolations(3, { evacuations: 2 }),
 );
-nodeTest.test('promises hold while servers name rate limits, seed 4', () =>
-  expectKept(4, { limits: 1 }),
+nodeTest.test('guarantees hold while servers announce rate limits, seed 4', () =>
+  expectNoViolations(4, { limits: 1 }),
 );
-nodeTest.test('promises hold while the store goes back, seed 5', () =>
-  expectKept(5, { evacuations: 1, epochs: 1 }),
+nodeTest.test('guarantees hold while the store is restored, seed 5', () =>
+  expectNoViolations(5, { evacuations: 1, epochs: 1 }),
 );
-nodeTest.test('promises hold while servers leave and want a backoff, seed 6', () =>
-  expectKept(6, { statements: 2 }),
+nodeTest.test('guarantees hold while servers leave and ask for a backoff, seed 6', () =>
+  expectNoViolations(6, { statements: 2 }),
 );
