--- a/packages/proofs/src/model/document-protocol.test.ts
+++ b/packages/proofs/src/model/document-protocol.test.ts
@@ -3,7 +3,7 @@
 import * as documentProtocol from './document-protocol.js';
 import * as explore from './explore.js';
 
-/** Asserts that the check finds a fault once a safeguard is taken out. */
+/** Asserts that exploring finds a fault once a safeguard is disabled. */
 function expectFault(safeguard: keyof documentProtocol.Safeguards, fault: string): void {
   const safeguards = { ...documentProtocol.ALL_SAFEGUARDS, [safeguard]: false };
   const specification = documentProtocol.buildDocumentSpecification(safeguards, 1);
--- a/packages/proofs/src/model/document-protocol.ts
+++ b/packages/proofs/src/model/document-protocol.ts
@@ -1,10 +1,11 @@
 /**
- * Specification of how a document comes into force: one service, an entry, two
- * agents, and a document of which version 2 says that agent A is leaving.
+ * Specification of how a new document version becomes active: one service, an entry,
+ * two agents, and a document whose version 2 marks agent A as leaving.
  *
- * The platform may answer any read with any version published so far. Processes
- * show their versions to each other; a message stays on the network, so that it
- * may be lost, doubled and late. A restarted process has forgotten everything.
+ * The platform may answer any read with any version published so far. Processes announce
+ * their versions to each other. Messages stay on the network, which covers loss, duplication
+ * and delay. A restarted process has lost all its state. `life` counts the incarnations of
+ * a process.
  */
 import * as explore from './explore.js';
 
@@ -13,20 +14,20 @@
 
 type Process = { life: number; version: number };
 
-/** What the entry was last shown by an agent, in the entry's present life. */
-type Seen = { life: number; version: number };
+/** The version that an agent last announced to the entry's current incarnation. */
+type KnownVersion = { life: number; version: number };
 
 type Message =
   | { kind: 'show'; from: ProcessId; life: number; version: number }
   | { kind: 'offer'; to: AgentId; life: number };
 
-/** What a step did wrong; kept, so that the explorer finds it. */
+/** A violation caused by a step; kept in the world, so that the explorer finds it. */
 type Fault = 'version went down' | 'started while leaving' | 'offered on an older document';
 
 export type World = {
   published: number;
   processes: Record<ProcessId, Process>;
-  seen: Record<AgentId, Seen | null>;
+  seen: Record<AgentId, KnownVersion | null>;
   network: Message[];
   restartsLeft: number;
   faults: Fault[];
@@ -41,11 +42,11 @@
   | { type: 'restart'; process: ProcessId };
 
 export type Safeguards = {
-  /** A process takes only a higher version. */
+  /** A process applies only a higher version. */
   versionsOnlyUp: boolean;
   /** An agent that knows it is leaving refuses offers. */
   leavingRefuses: boolean;
-  /** The entry offers nothing to an agent before that agent has shown its version. */
+  /** The entry offers nothing to an agent before that agent has announced its version. */
   waitsForPeer: boolean;
 };
 
@@ -59,8 +60,8 @@
 const AGENT_IDS: readonly AgentId[] = ['A', 'B'];
 const LEAVING_VERSION = 2;
 
-/** Makes the world before any process has a document. */
-function makeWorld(restarts: number): World {
+/** Creates the world before any process has a document. */
+function createWorld(restarts: number): World {
   const fresh = (): Process => ({ life: 1, version: 0 });
   return {
     published: 1,
@@ -72,7 +73,7 @@
   };
 }
 
-/** Adds a message, unless it is there already. */
+/** Adds a message to the network, unless it is there already. */
 function send(world: World, message: Message): void {
   const text = JSON.stringify(message);
   if (!world.network.some((other) => JSON.stringify(other) === text)) {
@@ -80,8 +81,8 @@
   }
 }
 
-/** Takes a version into force. */
-function takeVersion(world: World, id: ProcessId, version: number, safeguards: Safeguards): void {
+/** Makes a version active at a process. */
+function applyVersion(world: World, id: ProcessId, version: number, safeguards: Safeguards): void {
   const process = world.processes[id];
   if (version < process.version && !safeguards.versionsOnlyUp) {
     world.faults.push('version went down');
@@ -91,8 +92,8 @@
   }
 }
 
-/** Tells whether the entry may offer to an agent. */
-function isOfferable(world: World, to: AgentId, safeguards: Safeguards): boolean {
+/** Whether the entry may offer work to an agent. */
+function isOfferAllowed(world: World, to: AgentId, safeguards: Safeguards): boolean {
   const { version } = world.processes.E;
   const shown = world.seen[to];
   const known = shown !== null && version >= shown.version;
@@ -100,11 +101,11 @@
   return version > 0 && !leaving && (known || !safeguards.waitsForPeer);
 }
 
-/** Offers work to an agent, over a link on which it may have shown its version. */
+/** Offers work to an agent, which may have announced its version over the same link. */
 function offer(world: World, to: AgentId): void {
   const shown = world.seen[to];
   const peer = world.processes[to];
-  // Only what the peer has itself shown in this life can be known here.
+  // The entry can know only what the peer announced in its current incarnation.
   const knows = world.network.some(
     (one) => one.kind === 'show' && one.from === to && one.life === peer.life,
   );
@@ -115,10 +116,10 @@
   send(world, { kind: 'offer', to, life: shown?.life ?? peer.life });
 }
 
-/** Applies a message at the process that it reaches. */
+/** Delivers a message to a process. */
 function deliver(world: World, message: Message, to: ProcessId, safeguards: Safeguards): void {
   if (message.kind === 'show') {
-    takeVersion(world, to, message.version, safeguards);
+    applyVersion(world, to, message.version, safeguards);
     if (to === 'E' && message.from !== 'E') {
       const { life, version } = message;
       const known = world.seen[message.from];
@@ -134,7 +135,7 @@
   }
 }
 
-/** Restarts a process: what it knew is gone. */
+/** Restarts a process, which loses its state. */
 function restart(world: World, id: ProcessId): void {
   world.restartsLeft -= 1;
   world.processes[id] = { life: world.processes[id].life + 1, version: 0 };
@@ -143,7 +144,7 @@
   }
 }
 
-/** Lists what one process may do next. */
+/** Lists the steps that one process may take next. */
 function listProcessSteps(world: World, id: ProcessId): Step[] {
   const versions = Array.from({ length: world.published }, (_, index) => index + 1);
   const reads = versions.map((version): Step => ({ type: 'read', process: id, version }));
@@ -152,7 +153,7 @@
   return [...reads, ...shows, ...restarts];
 }
 
-/** Lists the processes that a message may reach. */
+/** Lists the possible receivers of a message. */
 function listReceivers(message: Message): ProcessId[] {
   if (message.kind === 'offer') {
     return [message.to];
@@ -160,9 +161,9 @@
   return message.from === 'E' ? ['A', 'B'] : ['E'];
 }
 
-/** Lists every step from a world. */
+/** Lists every step that is possible in a world. */
 function listSteps(world: World, safeguards: Safeguards): Step[] {
-  const offers = AGENT_IDS.filter((id) => isOfferable(world, id, safeguards));
+  const offers = AGENT_IDS.filter((id) => isOfferAllowed(world, id, safeguards));
   return [
     ...(world.published < LEAVING_VERSION ? [{ type: 'publish' } as const] : []),
     ...PROCESS_IDS.flatMap((id) => listProcessSteps(world, id)),
@@ -181,7 +182,7 @@
       world.published += 1;
       return world;
     case 'read':
-      takeVersion(world, step.process, step.version, safeguards);
+      applyVersion(world, step.process, step.version, safeguards);
       return world;
     case 'show':
       send(world, { kind: 'show', from: step.process, ...world.processes[step.process] });
@@ -198,19 +199,19 @@
   }
 }
 
-/** Writes a world as text, whatever the order in which its messages were sent. */
+/** Formats a world as text that doesn't depend on the order in which messages were sent. */
 function formatWorld(world: World): string {
   const network = world.network.map((message) => JSON.stringify(message)).sort();
   return JSON.stringify({ ...world, network });
 }
 
-/** Builds the specification with the safeguards that are in place. */
+/** Builds the specification with the given safeguards enabled. */
 export function buildDocumentSpecification(
   safeguards: Safeguards,
   restarts: number,
 ): explore.Specification<World, Step> {
   return {
-    initial: makeWorld(restarts),
+    initial: createWorld(restarts),
     listSteps: (world) => listSteps(world, safeguards),
     applyStep: (world, step) => applyStep(world, step, safeguards),
     findBroken: (world) => world.faults,
--- a/packages/proofs/src/model/explore.ts
+++ b/packages/proofs/src/model/explore.ts
@@ -1,35 +1,35 @@
-/** Explores a specification with the adjacency map of `xstate/graph`. */
+/** Model checker: explores a specification exhaustively with `getAdjacencyMap` of `xstate/graph`. */
 import * as crypto from 'node:crypto';
 import * as xstate from 'xstate';
 import * as graph from 'xstate/graph';
 
-/** A world of plain data, its steps, and what must hold in it. */
+/** A state machine over worlds of plain data, with the properties that must hold in each. */
 export type Specification<World, Step extends { type: string }> = {
   initial: World;
   listSteps: (world: World) => Step[];
-  /** Gives a new world; the one before stays as it was. */
+  /** Returns a new world; doesn't modify the old one. */
   applyStep: (world: World, step: Step) => World;
-  /** Names the properties that a world breaks. */
+  /** Returns the names of the properties that a world violates. */
   findBroken: (world: World) => string[];
-  /** Writes a world as text: equal worlds, and only they, give equal text. */
+  /** Formats a world as text; two worlds have the same text if and only if they are equal. */
   formatWorld: (world: World) => string;
 };
 
 export type Exploration<Step> = {
   states: number;
-  /** Properties broken first, with the steps that lead there; undefined where none is. */
+  /** The first violated properties, with the steps that lead there; undefined if all hold. */
   broken: { properties: string[]; steps: Step[] } | undefined;
 };
 
 type Origin<World, Step> = { step: Step; before: World };
 
-/** Hashes the text of a world. */
+/** Computes the key of a world from its text. */
 function hashWorld(text: string): string {
-  // Digests keep the explorer's map small; SHA-1 does not collide by chance.
+  // Digests keep the explorer's map small; accidental SHA-1 collisions are negligible.
   return crypto.createHash('sha1').update(text).digest('base64');
 }
 
-/** Lists the steps that led to a world. */
+/** Lists the steps from the initial world to a world. */
 function listTrace<World, Step>(origins: Map<World, Origin<World, Step>>, world: World): Step[] {
   const steps: Step[] = [];
   let origin = origins.get(world);
@@ -40,7 +40,7 @@
   return steps;
 }
 
-/** Explores every reachable world; ends at the first that breaks a property. */
+/** Explores every reachable world; stops at the first that violates a property. */
 export function explore<World extends object, Step extends { type: string }>(
   specification: Specification<World, Step>,
 ): Exploration<Step> {
@@ -71,8 +71,8 @@
     }
     return broken !== undefined;
   };
-  // The explorer keeps every edge it is given. Edges to worlds it knows already
-  // add nothing to what is reachable.
+  // The explorer stores every edge it is given. Edges to worlds it has already seen make
+  // no new world reachable, so they are dropped to save memory.
   const filterEvents = ({ context: world }: WorldSnapshot, step: Step) => {
     const next = apply(world, step);
     const key = hashWorld(formatWorld(next));
--- a/packages/proofs/src/model/key-protocol-properties.ts
+++ b/packages/proofs/src/model/key-protocol-properties.ts
@@ -1,4 +1,4 @@
-/** What must hold in every reachable world. */
+/** Properties of the key protocol that must hold in every reachable world. */
 import * as model from './world.js';
 
 export type Property = {
@@ -6,34 +6,36 @@
   holds: (world: model.World) => boolean;
 };
 
-/** Gets the call that an attempt belongs to. */
-function getOwner(ref: string): number {
+/** Returns the index of the call that an attempt belongs to. */
+function getCallIndex(ref: string): number {
   return Number(ref.split('.')[0]);
 }
 
-/** Tells whether a call told "not run" is true of every call it covers. */
-function isTrulyNotRun(world: model.World, call: model.Call): boolean {
-  return call.told !== 'notRun' || !world.starts.some((ref) => call.covers.includes(getOwner(ref)));
+/** Whether the result "not run", if a call got it, is true of every call that it covers. */
+function isNotRunTrue(world: model.World, call: model.Call): boolean {
+  return (
+    call.result !== 'notRun' || !world.starts.some((ref) => call.covers.includes(getCallIndex(ref)))
+  );
 }
 
-/** Checks that an answer was produced by a run. */
-function isTrulyCompleted(world: model.World, call: model.Call): boolean {
-  return call.told !== 'completed' || world.starts.length > 0;
+/** Whether the result "completed", if a call got it, comes from a run. */
+function isCompletedTrue(world: model.World, call: model.Call): boolean {
+  return call.result !== 'completed' || world.starts.length > 0;
 }
 
 export const PROPERTIES: readonly Property[] = [
   { name: 'dispatched at most once', holds: (world) => world.starts.length <= 1 },
   {
-    name: 'told not run implies never run',
-    holds: (world) => world.calls.every((call) => isTrulyNotRun(world, call)),
+    name: 'reported not run implies never run',
+    holds: (world) => world.calls.every((call) => isNotRunTrue(world, call)),
   },
   {
-    name: 'told completed implies run',
-    holds: (world) => world.calls.every((call) => isTrulyCompleted(world, call)),
+    name: 'reported completed implies run',
+    holds: (world) => world.calls.every((call) => isCompletedTrue(world, call)),
   },
 ];
 
-/** Finds the properties that a world breaks. */
+/** Returns the names of the properties that a world violates. */
 export function findBroken(world: model.World): string[] {
   return PROPERTIES.filter((property) => !property.holds(world)).map((property) => property.name);
 }
--- a/packages/proofs/src/model/key-protocol-steps.ts
+++ b/packages/proofs/src/model/key-protocol-steps.ts
@@ -1,4 +1,4 @@
-/** Every step that the world can take next, as events of the explorer. */
+/** The steps of the key protocol's specification, as events of the explorer. */
 import * as keyProtocol from './key-protocol.js';
 import * as model from './world.js';
 
@@ -12,7 +12,7 @@
   | { type: 'refuse'; agent: model.AgentId; ref: string }
   | { type: 'restart'; agent: model.AgentId };
 
-/** What the exploration leaves out, to stay within its time. */
+/** Bounds on the exploration, so that it ends in reasonable time. */
 export type Bounds = {
   restarts: number;
   /** Attempts that each call may begin. */
@@ -21,7 +21,7 @@
   versions: number[];
 };
 
-/** Lists what one call may do next. */
+/** Lists the steps that one call may take next. */
 function listCallSteps(world: model.World, index: number, bounds: Bounds): Step[] {
   const call = world.calls[index];
   const attemptsLeft = world.attemptsLeft[index];
@@ -42,7 +42,7 @@
   }
 }
 
-/** Lists what one agent may do next. */
+/** Lists the steps that one agent may take next. */
 function listAgentSteps(world: model.World, agent: model.AgentId): Step[] {
   const queued = Object.entries(world.agents[agent].records)
     .filter(([, status]) => status === 'queued')
@@ -54,7 +54,7 @@
   return [...queued, ...restarts];
 }
 
-/** Lists every step from a world. */
+/** Lists every step that is possible in a world. */
 export function listSteps(world: model.World, bounds: Bounds): Step[] {
   return [
     ...world.calls.flatMap((_call, index) => listCallSteps(world, index, bounds)),
@@ -63,7 +63,7 @@
   ];
 }
 
-/** Copies a world; messages and bindings are never changed in place. */
+/** Copies a world. Messages and bindings are shared, as they are never modified. */
 function copyWorld(world: model.World): model.World {
   const copyAgent = (agent: model.Agent) => ({ ...agent, records: { ...agent.records } });
   return {
@@ -84,11 +84,11 @@
 ): model.World {
   const world = copyWorld(before);
   updateWorld(world, step, safeguards);
-  world.network = world.network.filter((message) => keyProtocol.isAlive(world, message));
+  world.network = world.network.filter((message) => keyProtocol.isRelevant(world, message));
   return world;
 }
 
-/** Changes a world by one step. */
+/** Applies one step to a world in place. */
 function updateWorld(world: model.World, step: Step, safeguards: model.Safeguards): void {
   switch (step.type) {
     case 'arrive':
--- a/packages/proofs/src/model/key-protocol.test.ts
+++ b/packages/proofs/src/model/key-protocol.test.ts
@@ -5,15 +5,15 @@
 import * as keySpecification from './key-specification.js';
 import * as model from './world.js';
 
-// Two calls with one key, through two entries, over a network that loses,
-// doubles and delays without limit. Each exploration is exhaustive within its
-// bounds; `npm run model` explores wider ones.
+// Two calls with one key, through two entries, over a network that may lose, duplicate and
+// delay any message. Each exploration is exhaustive within its bounds; `npm run model`
+// explores wider ones.
 
 const ONE_VERSION = { restarts: 0, attempts: [1, 1], versions: [1] };
 const TWO_VERSIONS = { restarts: 0, attempts: [1, 0], versions: [1, 2] };
 const RESTART = { restarts: 1, attempts: [1, 0], versions: [1] };
 
-/** Asserts that a bound explores whole and clean, with this many states. */
+/** Asserts that an exploration finds no violation and visits this many states. */
 function expectClean(bounds: keyProtocolSteps.Bounds, states: number): void {
   const exploration = explore.explore(
     keySpecification.buildKeySpecification(model.ALL_SAFEGUARDS, bounds),
@@ -22,7 +22,7 @@
   assert.equal(exploration.states, states);
 }
 
-/** Asserts that the check finds a fault once a safeguard is taken out. */
+/** Asserts that exploring finds a violated property once a safeguard is disabled. */
 function expectFault(safeguard: keyof model.Safeguards, property: string): void {
   const safeguards = { ...model.ALL_SAFEGUARDS, [safeguard]: false };
   const bounds = { restarts: 1, attempts: [1, 1], versions: [1, 2] };
@@ -36,7 +36,7 @@
 
 nodeTest.test('model, agent restart', () => expectClean(RESTART, 9609));
 
-const NOT_RUN = 'told not run implies never run';
+const NOT_RUN = 'reported not run implies never run';
 const AT_MOST_ONCE = 'dispatched at most once';
 
 nodeTest.test('model without life checks', () => expectFault('lifeChecks', AT_MOST_ONCE));
--- a/packages/proofs/src/model/key-protocol.ts
+++ b/packages/proofs/src/model/key-protocol.ts
@@ -1,16 +1,16 @@
 /**
- * Specification of the key protocol: how one key's work is dispatched at most
- * once, and what its callers may be told. Pure data and pure functions; the
- * model check explores every interleaving within its bounds.
+ * Specification of the idempotency key protocol: how the request of one key is dispatched at
+ * most once, and which results its callers may get. It consists of pure data and pure
+ * functions; the model checker explores every interleaving within its bounds.
  *
- * The world: two calls with the same key, the second a resend through another
- * entry; two agents, either of which may run the work; agent A is the key's
- * home under document version 1, agents A then B under version 2.
+ * The world has two calls with the same key, the second a resend through another entry, and
+ * two agents, either of which may run the request. The key's home is agent A under document
+ * version 1, and agents A then B under version 2.
  *
- * The network: a set of messages that only grows. Delivering one does not take
- * it out, so loss (never delivered), doubling and any lateness are all covered.
- * A paused or killed entry is one whose next step comes late or never. A
- * restarted agent forgets everything and begins a new life.
+ * The network is a set of messages that only grows. Delivering a message doesn't remove it,
+ * which covers loss (never delivered), duplication and any delay. A paused or killed entry is
+ * one whose next step comes late or never. A restarted agent loses its state and begins a new
+ * incarnation, counted by `life`.
  */
 
 import * as model from './world.js';
@@ -31,12 +31,12 @@
   }
 }
 
-/** Builds the id of the claim that a call makes at this point. */
+/** Builds the id of the claim that a call makes in its current phase. */
 function formatClaimId(index: number, call: model.Call): string {
-  return [index, call.phase, call.attempt, call.homeIndex, call.dead.length].join(':');
+  return [index, call.phase, call.attempt, call.homeIndex, call.confirmedNotRun.length].join(':');
 }
 
-/** Sends the claim that a call makes at its present home. */
+/** Sends a call's claim to its current home. */
 function sendClaim(world: model.World, index: number): void {
   const call = world.calls[index];
   send(world, {
@@ -45,15 +45,15 @@
     call: index,
     home: call.homes[call.homeIndex],
     held: call.phase === 'closing' ? null : call.held,
-    dead: call.dead,
+    confirmedNotRun: call.confirmedNotRun,
   });
 }
 
-/** Tells a caller the final answer of its call. */
-function tell(world: model.World, index: number, told: model.Told): void {
+/** Ends a call with the result that its caller gets. */
+function endCall(world: model.World, index: number, result: model.Result): void {
   const call = world.calls[index];
   call.phase = 'ended';
-  call.told = told;
+  call.result = result;
   call.held = null;
 }
 
@@ -68,13 +68,13 @@
   sendClaim(world, index);
 }
 
-/** Gives a call up: closes the key, so that "not run" will be true. */
+/** Gives up a call; closes the key first, so that the result "not run" stays true. */
 export function giveUp(world: model.World, index: number, safeguards: model.Safeguards): void {
   const call = world.calls[index];
   call.covers = world.calls.flatMap((other, one) => (other.phase === 'idle' ? [] : [one]));
   call.held = null;
   if (!safeguards.closeBeforeNotRun) {
-    tell(world, index, 'notRun');
+    endCall(world, index, 'notRun');
     return;
   }
   call.phase = 'closing';
@@ -82,7 +82,7 @@
   sendClaim(world, index);
 }
 
-/** Takes in a call; the entry's document version gives the key's homes. */
+/** Starts a call; the entry's document version determines the key's homes. */
 export function receiveCall(
   world: model.World,
   index: number,
@@ -98,7 +98,7 @@
   });
 }
 
-/** Decides on a claim at a home. */
+/** Decides a claim at a home. */
 function resolveClaim(
   world: model.World,
   claim: Extract<model.Message, { kind: 'claim' }>,
@@ -110,13 +110,13 @@
     return { kind: 'undecided' };
   }
   const own = binding?.kind === 'bound' && binding.ref === claim.held?.ref;
-  if (binding?.kind === 'bound' && !own && !claim.dead.includes(binding.ref)) {
+  if (binding?.kind === 'bound' && !own && !claim.confirmedNotRun.includes(binding.ref)) {
     const { ref, agent, life } = binding;
     return { kind: 'bound', held: { ref, agent, life } };
   }
   const { closedBefore } = world.calls[claim.call];
-  const barred = binding?.kind === 'closed' && !closedBefore.includes(binding.id);
-  if (barred && safeguards.closeBindsEarlierCalls) {
+  const isClosedSinceArrival = binding?.kind === 'closed' && !closedBefore.includes(binding.id);
+  if (isClosedSinceArrival && safeguards.closeBindsEarlierCalls) {
     return { kind: 'closed' };
   }
   home.binding =
@@ -124,7 +124,7 @@
   return { kind: 'granted' };
 }
 
-/** Waits for an attempt, its own or another call's. */
+/** Makes a call wait for an attempt, its own or another call's. */
 function hold(world: model.World, index: number, held: model.Held, kind: 'offer' | 'resume'): void {
   const call = world.calls[index];
   call.phase = 'held';
@@ -132,7 +132,7 @@
   send(world, { kind, held });
 }
 
-/** Goes on after a home has granted, or has closed. */
+/** Moves a call to its next home after a home granted a claim or closed the key. */
 function advanceCall(world: model.World, index: number): void {
   const call = world.calls[index];
   call.homeIndex += 1;
@@ -141,14 +141,14 @@
     return;
   }
   if (call.phase === 'closing') {
-    tell(world, index, 'notRun');
+    endCall(world, index, 'notRun');
   } else if (call.held !== null) {
     hold(world, index, call.held, 'offer');
   }
 }
 
 /** Applies a home's reply to the call that asked. */
-function takeReply(world: model.World, reply: Extract<model.Message, { kind: 'reply' }>): void {
+function applyReply(world: model.World, reply: Extract<model.Message, { kind: 'reply' }>): void {
   const call = world.calls[reply.call];
   if (reply.id !== formatClaimId(reply.call, call)) {
     return;
@@ -158,7 +158,7 @@
       advanceCall(world, reply.call);
       return;
     case 'closed':
-      // Closed here by another call. The homes after this one may not be.
+      // Another call closed the key at this home; it may still be open at later homes.
       if (call.phase === 'claiming') {
         call.covers = world.calls.flatMap((other, one) => (other.phase === 'idle' ? [] : [one]));
       }
@@ -170,12 +170,12 @@
       hold(world, reply.call, reply.outcome.held, 'resume');
       return;
     default:
-      tell(world, reply.call, 'mayHaveRun');
+      endCall(world, reply.call, 'mayHaveRun');
   }
 }
 
-/** Applies an offer or a resumption at the agent it names. */
-function takeAtAgent(
+/** Delivers an offer or a resumption to the agent that it names. */
+function applyAtAgent(
   world: model.World,
   message: Extract<model.Message, { kind: 'offer' | 'resume' }>,
   safeguards: model.Safeguards,
@@ -183,7 +183,7 @@
   const { ref, agent: id, life } = message.held;
   const agent = world.agents[id];
   if (safeguards.lifeChecks && life !== agent.life) {
-    send(world, { kind: 'word', ref, word: 'otherLife' });
+    send(world, { kind: 'attemptStatus', ref, status: 'otherLife' });
     return;
   }
   const known = agent.records[ref];
@@ -195,45 +195,45 @@
   }
   const isUnknown = message.kind === 'resume' && known === undefined;
   if (isUnknown || agent.records[ref] === 'notRun') {
-    send(world, { kind: 'word', ref, word: 'notRun' });
+    send(world, { kind: 'attemptStatus', ref, status: 'notRun' });
   }
 }
 
-/** Applies an agent's word to one call that waits for that attempt. */
-function takeWord(
+/** Applies an agent's status of an attempt to a call, if the call waits for that attempt. */
+function applyStatus(
   world: model.World,
   index: number,
-  message: Extract<model.Message, { kind: 'word' }>,
+  message: Extract<model.Message, { kind: 'attemptStatus' }>,
 ): void {
   const call = world.calls[index];
   if (call.phase !== 'held' || call.held?.ref !== message.ref) {
     return;
   }
-  switch (message.word) {
+  switch (message.status) {
     case 'done':
-      tell(world, index, 'completed');
+      endCall(world, index, 'completed');
       return;
     case 'otherLife':
-      tell(world, index, 'mayHaveRun');
+      endCall(world, index, 'mayHaveRun');
       return;
     default:
-      call.dead = [...call.dead, message.ref];
+      call.confirmedNotRun = [...call.confirmedNotRun, message.ref];
       call.held = null;
       call.phase = 'placing';
   }
 }
 
 /**
- * Tells whether delivering a message could still change anything. The check
- * leaves out those that cannot: replies to a claim that its call is past, and
- * words about attempts that no call can wait for any more.
+ * Whether delivering a message could still change the world. The exploration drops messages
+ * that can't: replies to claims that a call no longer waits for, and attempt statuses once
+ * every call has ended.
  */
-export function isAlive(world: model.World, message: model.Message): boolean {
+export function isRelevant(world: model.World, message: model.Message): boolean {
   if (message.kind === 'reply') {
     const call = world.calls[message.call];
     return message.id === formatClaimId(message.call, call);
   }
-  return message.kind !== 'word' || world.calls.some((call) => call.phase !== 'ended');
+  return message.kind !== 'attemptStatus' || world.calls.some((call) => call.phase !== 'ended');
 }
 
 /** Delivers one message. */
@@ -249,38 +249,38 @@
       return;
     }
     case 'reply':
-      takeReply(world, message);
+      applyReply(world, message);
       return;
-    case 'word':
-      world.calls.forEach((call, index) => takeWord(world, index, message));
+    case 'attemptStatus':
+      world.calls.forEach((call, index) => applyStatus(world, index, message));
       return;
     default:
-      takeAtAgent(world, message, safeguards);
+      applyAtAgent(world, message, safeguards);
   }
 }
 
-/** Starts a queued attempt on the engine and ends it. */
+/** Starts a queued attempt on the engine and completes it. */
 export function start(world: model.World, id: model.AgentId, ref: model.Ref): void {
   world.agents[id].records[ref] = 'started';
   world.starts.push(ref);
-  send(world, { kind: 'word', ref, word: 'done' });
+  send(world, { kind: 'attemptStatus', ref, status: 'done' });
 }
 
 /** Refuses a queued attempt. */
 export function refuse(world: model.World, id: model.AgentId, ref: model.Ref): void {
   world.agents[id].records[ref] = 'notRun';
-  send(world, { kind: 'word', ref, word: 'notRun' });
+  send(world, { kind: 'attemptStatus', ref, status: 'notRun' });
 }
 
-/** Restarts an agent: everything it held is forgotten. */
+/** Restarts an agent, which loses its state. */
 export function restart(world: model.World, id: model.AgentId): void {
   world.restartsLeft -= 1;
   world.agents[id] = { life: world.agents[id].life + 1, binding: null, records: {} };
 }
 
-/** Ends a call whose time is up while it waits for somebody's word. */
+/** Ends a call whose deadline passes while it waits for a reply. */
 export function expire(world: model.World, index: number, safeguards: model.Safeguards): void {
-  tell(world, index, safeguards.silenceIsUnknown ? 'mayHaveRun' : 'notRun');
+  endCall(world, index, safeguards.silenceIsUnknown ? 'mayHaveRun' : 'notRun');
   world.calls[index].covers = world.calls.flatMap((other, one) =>
     other.phase === 'idle' ? [] : [one],
   );
--- a/packages/proofs/src/model/main.ts
+++ b/packages/proofs/src/model/main.ts
@@ -1,4 +1,4 @@
-/** Explores the specification within wide bounds: `npm run model`. Takes minutes. */
+/** Explores the key protocol within wide bounds: `npm run model`. Takes minutes. */
 import * as explore from './explore.js';
 import * as keySpecification from './key-specification.js';
 import * as model from './world.js';
@@ -15,7 +15,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Explores one bound with every safeguard in place; true where nothing broke. */
+/** Explores within one set of bounds with every safeguard enabled; true if all properties hold. */
 function run(bounds: (typeof BOUNDS)[number]): boolean {
   const { states, broken } = explore.explore(
     keySpecification.buildKeySpecification(model.ALL_SAFEGUARDS, bounds),
--- a/packages/proofs/src/model/replay.test.ts
+++ b/packages/proofs/src/model/replay.test.ts
@@ -6,7 +6,7 @@
 const WALKS = 400;
 const LENGTH = 60;
 
-/** Replays walks until one shows a difference. */
+/** Replays random walks until one shows a difference. */
 function findDifference(safeguards: model.Safeguards): replay.Difference | undefined {
   let difference: replay.Difference | undefined;
   Array.from({ length: WALKS }, (_, index) => index + 1).some((seed) => {
@@ -20,8 +20,8 @@
   assert.equal(findDifference(model.ALL_SAFEGUARDS), undefined);
 });
 
-// The code keeps its safeguards; a specification without one must differ from
-// it somewhere, or the comparison would show nothing.
+// The code has all safeguards, so a specification without one of them must differ from it;
+// otherwise the comparison couldn't detect a missing safeguard.
 const COMPARED: (keyof model.Safeguards)[] = [
   'tombstones',
   'lifeChecks',
--- a/packages/proofs/src/model/replay.ts
+++ b/packages/proofs/src/model/replay.ts
@@ -1,7 +1,8 @@
 /**
- * Ties the specification to the code: walks through the specification at random
- * and hands every message that reaches an agent to the real agent core as well.
- * Both must decide claims alike, start the same attempts and say the same words.
+ * Checks that the code conforms to the specification of the key protocol: takes random walks
+ * through the specification and also hands every message that reaches an agent to the real
+ * agent core. Both must decide claims alike, start the same attempts and report the same
+ * statuses.
  */
 import * as core from '@toucanproxy/core';
 import * as schema from '@toucanproxy/schema';
@@ -12,17 +13,17 @@
 import * as keyProtocolSteps from './key-protocol-steps.js';
 import * as model from './world.js';
 
-/** One difference between specification and code, with the step that shows it. */
+/** A difference between specification and code, with the step that shows it. */
 export type Difference = { step: keyProtocolSteps.Step; expected: string; actual: string };
 
 const SERVICE = 'brimwit';
 const WORKSPACE = 'brim';
 const KEY = 'the key';
 const START_MS = 1_700_000_000_000;
-/** Each step takes longer than clocks may differ, so that times order as steps do. */
+/** Longer than the clock skew, so that timestamps have the same order as steps. */
 const STEP_MS = 20;
 const TIMING = { clockSkewMs: 1, keyWindowMs: 600_000, maxDeadlineMs: 300_000 };
-/** The key is issued in the agents' first lives, so later lives cannot decide on it. */
+/** The key is issued in the agents' first incarnations, so later ones can't decide on it. */
 const KEY_ISSUED_MS = START_MS + STEP_MS;
 const LINK_ID = 1;
 
@@ -34,7 +35,7 @@
   starts: string[];
 };
 
-/** Creates a life of a real agent with a link and a document. */
+/** Creates an incarnation of a real agent with a link and a document. */
 function createAgent(id: model.AgentId, life: number, now: number): core.AgentState {
   const identity = { backendServerId: id, service: SERVICE, life: String(life) };
   const state = core.createAgentState(identity, now);
@@ -49,23 +50,23 @@
   return state;
 }
 
-/** Translates a reference. */
-function toRef(ref: model.Ref): schema.AttemptRef {
+/** Converts an attempt reference of the specification to the code's. */
+function buildRef(ref: model.Ref): schema.AttemptRef {
   const [call, attempt] = ref.split('.');
   return core.buildRef(`call-${call}`, Number(attempt));
 }
 
-/** Translates a reference back. */
+/** Converts an attempt reference of the code to the specification's. */
 function formatRef(ref: schema.AttemptRef | undefined): model.Ref {
   return ref === undefined ? '' : `${ref.requestId.replace('call-', '')}.${ref.attempt}`;
 }
 
-/** Gets the arrival time of the call that an attempt belongs to. */
+/** Returns the arrival time of the call that an attempt belongs to. */
 function getIssuedMs(run: Run, ref: model.Ref): number {
   return run.arrivedMs[Number(ref.split('.')[0])];
 }
 
-/** Translates a claim. */
+/** Converts a claim. */
 function buildClaim(run: Run, claim: Extract<model.Message, { kind: 'claim' }>) {
   const { held } = claim;
   const value = schema.create(schema.ClaimSchema, {
@@ -74,10 +75,10 @@
     key: KEY,
     keyIssuedMs: KEY_ISSUED_MS,
     contentDigest: 'content',
-    ref: toRef(held?.ref ?? `${claim.call}.0`),
+    ref: buildRef(held?.ref ?? `${claim.call}.0`),
     backendServerId: held?.agent ?? '',
     agentLife: held === null ? '' : String(held.life),
-    replaces: claim.dead.map(toRef),
+    replaces: claim.confirmedNotRun.map(buildRef),
     close: held === null,
     arrivedMs: run.arrivedMs[claim.call],
     documentVersion: 2,
@@ -85,11 +86,11 @@
   return { case: 'claim', value } as const;
 }
 
-/** Translates an offer. */
+/** Converts an offer. */
 function buildOffer(run: Run, held: model.Held) {
   const issuedMs = getIssuedMs(run, held.ref);
   const value = schema.create(schema.OfferSchema, {
-    ref: toRef(held.ref),
+    ref: buildRef(held.ref),
     agentLife: String(held.life),
     workspace: WORKSPACE,
     issuedMs,
@@ -98,10 +99,10 @@
   return { case: 'offer', value } as const;
 }
 
-/** Translates a resumption. */
+/** Converts a resumption. */
 function buildResume(run: Run, held: model.Held) {
   const value = schema.create(schema.ResumeSchema, {
-    ref: toRef(held.ref),
+    ref: buildRef(held.ref),
     agentLife: String(held.life),
     workspace: WORKSPACE,
     issuedMs: getIssuedMs(run, held.ref),
@@ -109,7 +110,7 @@
   return { case: 'resume', value } as const;
 }
 
-/** Hands a message to a real agent; ends every run that it starts. */
+/** Hands a message to a real agent; every run that it starts completes at once. */
 function sendToAgent(
   run: Run,
   id: model.AgentId,
@@ -134,7 +135,7 @@
   [schema.ClaimOutcome.UNDECIDED]: 'undecided',
 };
 
-/** Describes what a real agent said, in the words of the specification. */
+/** Describes the replies of a real agent in the terms of the specification. */
 function describeReplies(replies: readonly schema.AgentMessage['body'][]): string {
   const words = replies.flatMap((body) => {
     switch (body.case) {
@@ -153,21 +154,21 @@
   return words.join();
 }
 
-/** Describes what the specification says an agent answers to a message. */
+/** Describes the reply that the specification expects of an agent. */
 function describeExpected(
   world: model.World,
   message: model.Message,
   safeguards: model.Safeguards,
 ): string {
-  // On an empty network, so that an earlier answer to a copy is not taken for it.
+  // The network is emptied so that the reply to an earlier copy of the message isn't found.
   const copy = { ...structuredClone(world), network: [] as model.Message[] };
   keyProtocol.deliver(copy, message, safeguards);
-  const [said] = copy.network;
-  if (said?.kind === 'word') {
-    return said.word;
+  const [reply] = copy.network;
+  if (reply?.kind === 'attemptStatus') {
+    return reply.status;
   }
-  if (said?.kind === 'reply') {
-    const { outcome } = said;
+  if (reply?.kind === 'reply') {
+    const { outcome } = reply;
     return outcome.kind === 'bound'
       ? `bound ${outcome.held.ref} ${outcome.held.agent} ${outcome.held.life}`
       : outcome.kind;
@@ -175,7 +176,7 @@
   return '';
 }
 
-/** Hands a delivered message to the real agent that it reaches. */
+/** Hands a delivered message to the real agent that receives it. */
 function applyDelivery(run: Run, message: model.Message): string | undefined {
   switch (message.kind) {
     case 'claim':
@@ -189,7 +190,7 @@
   }
 }
 
-/** Applies one step to both; an offer that is queued starts at once, as at an idle agent. */
+/** Applies a step to both sides; a queued offer starts at once, as on an idle agent. */
 function applyBoth(
   run: Run,
   step: keyProtocolSteps.Step,
@@ -220,7 +221,7 @@
   return expected === actual ? undefined : { step, expected, actual };
 }
 
-/** Walks at random; the first difference, or undefined where there is none. */
+/** Takes a random walk; returns the first difference, or undefined if there is none. */
 export function runWalk(
   seed: number,
   length: number,
@@ -229,7 +230,7 @@
   const drawRandom = randomSource.createRandomSource(seed);
   const bounds = { restarts: 2, attempts: [2, 2], versions: [1, 2] };
   const run: Run = {
-    world: model.makeWorld(bounds.restarts, bounds.attempts),
+    world: model.createWorld(bounds.restarts, bounds.attempts),
     agents: { A: createAgent('A', 1, START_MS), B: createAgent('B', 1, START_MS) },
     arrivedMs: [0, 0],
     nowMs: KEY_ISSUED_MS,
--- a/packages/proofs/src/model/world.ts
+++ b/packages/proofs/src/model/world.ts
@@ -1,31 +1,31 @@
 /**
- * The world of the key protocol's specification: its agents, calls, messages and
- * the safeguards that can be taken out of it.
+ * The state of the key protocol's specification (its world): agents, calls and messages, and
+ * the safeguards that can be disabled.
  */
 
 export type AgentId = 'A' | 'B';
-/** Names a call and its attempt, for example "0.1". */
+/** Identifies a call and its attempt, for example "0.1". */
 export type Ref = string;
 
 export type Binding =
   | { kind: 'bound'; ref: Ref; agent: AgentId; life: number }
-  /** Closed by the claim of this id; the code tells closes apart by their time. */
+  /** Closed by the claim with this id; the code distinguishes closes by their time. */
   | { kind: 'closed'; id: string };
 
 export type RecordStatus = 'queued' | 'started' | 'notRun';
 
 export type Agent = {
   life: number;
-  /** This agent as the key's home. */
+  /** Binding of the key, if this agent is its home. */
   binding: Binding | null;
-  /** This agent as the gate to its engine. */
+  /** Status of each attempt offered to this agent for its engine. */
   records: Record<Ref, RecordStatus>;
 };
 
 export type Phase = 'idle' | 'placing' | 'claiming' | 'closing' | 'held' | 'ended';
-export type Told = 'completed' | 'notRun' | 'mayHaveRun';
+export type Result = 'completed' | 'notRun' | 'mayHaveRun';
 
-/** The attempt that a call waits for, its own or one it joined. */
+/** The attempt that a call waits for: its own, or another call's that it joined. */
 export type Held = { ref: Ref; agent: AgentId; life: number };
 
 export type Call = {
@@ -34,21 +34,28 @@
   homeIndex: number;
   attempt: number;
   held: Held | null;
-  /** Attempts that their agents confirmed as not run. */
-  dead: Ref[];
-  /** Closes that stood already when the call arrived. */
+  /** Attempts that their agents have confirmed as not run. */
+  confirmedNotRun: Ref[];
+  /** Ids of closes that were in place when the call arrived. */
   closedBefore: string[];
-  told: Told | null;
+  result: Result | null;
   /** Calls that had arrived when this one decided to give up. */
   covers: number[];
 };
 
 export type Message =
-  | { kind: 'claim'; id: string; call: number; home: AgentId; held: Held | null; dead: Ref[] }
+  | {
+      kind: 'claim';
+      id: string;
+      call: number;
+      home: AgentId;
+      held: Held | null;
+      confirmedNotRun: Ref[];
+    }
   | { kind: 'reply'; id: string; call: number; outcome: ClaimOutcome }
   | { kind: 'offer'; held: Held }
   | { kind: 'resume'; held: Held }
-  | { kind: 'word'; ref: Ref; word: 'notRun' | 'done' | 'otherLife' };
+  | { kind: 'attemptStatus'; ref: Ref; status: 'notRun' | 'done' | 'otherLife' };
 
 export type ClaimOutcome =
   { kind: 'granted' } | { kind: 'closed' } | { kind: 'undecided' } | { kind: 'bound'; held: Held };
@@ -57,31 +64,31 @@
   agents: Record<AgentId, Agent>;
   calls: Call[];
   network: Message[];
-  /** Every start on an engine, over all lives: the ground truth. */
+  /** Every start on an engine, in all incarnations: the ground truth. */
   starts: Ref[];
   restartsLeft: number;
   attemptsLeft: number[];
 };
 
 /**
- * The safeguards, each of which can be taken out to see the check catch it.
+ * Safeguards of the protocol. Tests disable one at a time to show that the check fails then.
  */
 export type Safeguards = {
-  /** A resumption of an unknown attempt leaves a record that refuses its offer. */
+  /** A resumption of an unknown attempt leaves a record that refuses a later offer of it. */
   tombstones: boolean;
-  /** Offers and resumptions of another life are not acted on. */
+  /** Agents ignore offers and resumptions meant for another of their incarnations. */
   lifeChecks: boolean;
-  /** A restarted home does not bind keys that may have been bound before. */
+  /** A restarted home does not bind keys that it may have bound before the restart. */
   restartedHomeAbstains: boolean;
-  /** Homes of older versions are asked too, oldest first. */
+  /** Homes under older document versions are asked too, oldest first. */
   olderHomes: boolean;
-  /** Silence of an agent is never taken for its word. */
+  /** A missing reply from an agent is never taken as "not run". */
   silenceIsUnknown: boolean;
-  /** The key is closed before a caller is told "not run". */
+  /** The key is closed before a caller gets the result "not run". */
   closeBeforeNotRun: boolean;
-  /** A copy of a known offer is not started again. */
+  /** A duplicate of a known offer is not started again. */
   offerRecords: boolean;
-  /** A closed key is opened only by a call that arrived after the close. */
+  /** A closed key is reopened only by a call that arrived after the close. */
   closeBindsEarlierCalls: boolean;
 };
 
@@ -98,8 +105,8 @@
 
 export const AGENT_IDS: readonly AgentId[] = ['A', 'B'];
 
-/** Makes the world before any call; `attempts` bounds those of each call. */
-export function makeWorld(restarts: number, attempts: number[]): World {
+/** Creates the world before any call; `attempts` limits the attempts of each call. */
+export function createWorld(restarts: number, attempts: number[]): World {
   const agent = (): Agent => ({ life: 1, binding: null, records: {} });
   const call = (): Call => ({
     phase: 'idle',
@@ -107,9 +114,9 @@
     homeIndex: 0,
     attempt: 0,
     held: null,
-    dead: [],
+    confirmedNotRun: [],
     closedBefore: [],
-    told: null,
+    result: null,
     covers: [],
   });
   return {
@@ -124,7 +131,7 @@
 
 const texts = new WeakMap<Message, string>();
 
-/** Writes a message as text; messages are never changed once sent. */
+/** Formats a message as text; cached, as messages are never modified once sent. */
 export function formatMessage(message: Message): string {
   const known = texts.get(message);
   if (known !== undefined) {
