--- a/packages/proofs/src/random-runs/apply-fault.ts
+++ b/packages/proofs/src/random-runs/apply-fault.ts
@@ -1,4 +1,4 @@
-/** Brings one fault about in a virtual fleet. */
+/** Injects one fault into a virtual fleet. */
 import * as fleetProcesses from '../mocks/fleet-processes.js';
 import * as fleetState from '../mocks/fleet-state.js';
 import * as virtualEngine from '../mocks/virtual-engine.js';
@@ -16,7 +16,7 @@
 
 const SHUTDOWN_POLL_MS = 200;
 
-/** Picks an element by a number that may be larger than the list. */
+/** Picks an element by an index that may exceed the list's length. */
 function pick<T>(list: readonly T[], index: number): T {
   return list[index % list.length];
 }
@@ -31,7 +31,7 @@
   return pick([...fleet.entries.values()], index);
 }
 
-/** Lists the connections between two processes. */
+/** Lists the connections between the entry and the agent that a fault names. */
 function listConnections(
   fleet: fleetState.VirtualFleet,
   fault: { entry: number; agent: number },
@@ -43,8 +43,8 @@
   );
 }
 
-/** Stops a process and starts it again later. */
-function stopForAWhile(
+/** Kills a process and restarts it later. */
+function stopTemporarily(
   fleet: fleetState.VirtualFleet,
   process: virtualProcesses.VirtualProcess,
   fault: { told: boolean; downMs: number },
@@ -53,8 +53,8 @@
   fleetState.schedule(fleet, fault.downMs, () => fleetProcesses.startProcess(fleet, process));
 }
 
-/** Shuts a process down and starts it again some time after it has stopped. */
-function shutForAWhile(
+/** Shuts a process down gracefully and restarts it some time after it has stopped. */
+function shutTemporarily(
   fleet: fleetState.VirtualFleet,
   process: virtualProcesses.VirtualProcess,
   downMs: number,
@@ -74,7 +74,7 @@
   waitForStop();
 }
 
-/** Closes a connection in the middle: both ends are told. */
+/** Closes a connection in the network, so that both ends see it close. */
 function closeConnection(fleet: fleetState.VirtualFleet, one: virtualNetwork.Connection): void {
   const entry = fleet.entries.get(one.entryId);
   const agent = fleet.agents.get(one.agentId);
@@ -93,7 +93,7 @@
   }
 }
 
-/** Cuts some entries off from some agents. */
+/** Partitions the network between some entries and some agents for a while. */
 function beginPartition(fleet: fleetState.VirtualFleet, fault: FaultOf<'partition'>): void {
   fleet.network.partitions.push({
     entryIds: fault.entries.map((index) => pickEntry(fleet, index).id),
@@ -103,7 +103,7 @@
 }
 
 /** Slows an engine for a while. */
-function applySlowness(fleet: fleetState.VirtualFleet, fault: FaultOf<'engineSlowed'>): void {
+function applySlowdown(fleet: fleetState.VirtualFleet, fault: FaultOf<'engineSlowed'>): void {
   const { engine } = pickAgent(fleet, fault.agent);
   engine.slowdown = fault.factor;
   fleetState.schedule(fleet, fault.ms, () => {
@@ -111,8 +111,8 @@
   });
 }
 
-/** Doubles messages for a while. */
-function applyDoubling(fleet: fleetState.VirtualFleet, fault: FaultOf<'messagesDoubled'>): void {
+/** Duplicates a share of the messages for a while. */
+function applyDuplication(fleet: fleetState.VirtualFleet, fault: FaultOf<'messagesDoubled'>): void {
   fleet.duplicatedShare = fault.percent / 100;
   fleetState.schedule(fleet, fault.ms, () => {
     fleet.duplicatedShare = 0;
@@ -124,19 +124,19 @@
 };
 
 const APPLIERS: Appliers = {
-  agentStopped: ({ fleet }, fault) => stopForAWhile(fleet, pickAgent(fleet, fault.agent), fault),
-  entryStopped: ({ fleet }, fault) => stopForAWhile(fleet, pickEntry(fleet, fault.entry), fault),
+  agentStopped: ({ fleet }, fault) => stopTemporarily(fleet, pickAgent(fleet, fault.agent), fault),
+  entryStopped: ({ fleet }, fault) => stopTemporarily(fleet, pickEntry(fleet, fault.entry), fault),
   agentShutDown: ({ fleet }, fault) =>
-    shutForAWhile(fleet, pickAgent(fleet, fault.agent), fault.downMs),
+    shutTemporarily(fleet, pickAgent(fleet, fault.agent), fault.downMs),
   entryShutDown: ({ fleet }, fault) =>
-    shutForAWhile(fleet, pickEntry(fleet, fault.entry), fault.downMs),
+    shutTemporarily(fleet, pickEntry(fleet, fault.entry), fault.downMs),
   agentPaused: ({ fleet }, fault) =>
     fleetProcesses.pauseProcess(fleet, pickAgent(fleet, fault.agent), fault.ms),
   entryPaused: ({ fleet }, fault) =>
     fleetProcesses.pauseProcess(fleet, pickEntry(fleet, fault.entry), fault.ms),
   engineCrashed: ({ fleet }, fault) =>
     virtualEngine.failEngine(pickAgent(fleet, fault.agent).engine),
-  engineSlowed: ({ fleet }, fault) => applySlowness(fleet, fault),
+  engineSlowed: ({ fleet }, fault) => applySlowdown(fleet, fault),
   linkSilent: ({ fleet }, fault) =>
     listConnections(fleet, fault).forEach((one) => {
       one.silent = true;
@@ -144,7 +144,7 @@
   linkClosed: ({ fleet }, fault) =>
     listConnections(fleet, fault).forEach((one) => closeConnection(fleet, one)),
   partition: ({ fleet }, fault) => beginPartition(fleet, fault),
-  messagesDoubled: ({ fleet }, fault) => applyDoubling(fleet, fault),
+  messagesDoubled: ({ fleet }, fault) => applyDuplication(fleet, fault),
   documentOut: ({ fleet }, fault) => {
     fleet.platform.unavailableUntilMs = fleet.nowMs + fault.ms;
   },
@@ -159,7 +159,7 @@
   burst: ({ sendBurst }, fault) => sendBurst(fault),
 };
 
-/** Brings a fault about now. */
+/** Injects a fault now. */
 export function applyFault(target: FaultTarget, fault: scenario.FaultSpec): void {
   APPLIERS[fault.kind](target, fault as never);
 }
--- a/packages/proofs/src/random-runs/broken-variant.ts
+++ b/packages/proofs/src/random-runs/broken-variant.ts
@@ -1,11 +1,11 @@
-/** Shows that an invariant's check can fail: runs a scenario with a safeguard taken out. */
+/** Shows that the check of an invariant can fail, by running a scenario without a safeguard. */
 import * as assert from 'node:assert/strict';
 import * as core from '@toucanproxy/core';
 import * as invariants from '../invariants.js';
 import * as runScenario from './run-scenario.js';
 import * as scenarios from './scenario.js';
 
-/** One long call on a route that runs once. */
+/** One long call on a route whose requests must not be retried. */
 export const CALL: scenarios.CallSpec = {
   atMs: 100,
   entry: 0,
@@ -21,7 +21,7 @@
   resends: [],
 };
 
-/** Three such calls, one entry, one agent, no fault. */
+/** Three such calls with one entry, one agent and no fault. */
 export const SCENARIO: scenarios.Scenario = {
   seed: 11,
   entries: 1,
@@ -33,20 +33,20 @@
 };
 
 /**
- * Pushes offers. Under late binding a leaving agent refuses the reservation, and
- * an offer finds its place held: some safeguards stand alone only where offers
- * are pushed.
+ * A policy that offers requests without a reservation. Under late binding, a leaving agent
+ * already refuses the reservation, and an offer already has its slot. Some safeguards are the
+ * only protection, and thus testable, only without reservations.
  */
 export const buildPushPolicy = core.createLeastOutstandingPolicy;
 
-/** Asserts that a scenario passes, and breaks an invariant without a safeguard. */
+/** Asserts that a scenario passes, and that it violates an invariant without a safeguard. */
 export function expectCaught(
   scenario: scenarios.Scenario,
   broken: runScenario.Broken,
   invariant: invariants.Invariant,
 ): void {
-  const whole = broken.buildPolicy === undefined ? {} : { buildPolicy: broken.buildPolicy };
-  assert.deepEqual(runScenario.runScenario(scenario, whole).violations, []);
+  const policy = broken.buildPolicy === undefined ? {} : { buildPolicy: broken.buildPolicy };
+  assert.deepEqual(runScenario.runScenario(scenario, policy).violations, []);
   const [first] = runScenario.runScenario(scenario, broken).violations;
   assert.equal(first?.invariant, invariant, first?.detail);
 }
--- a/packages/proofs/src/random-runs/found-scenarios.test.ts
+++ b/packages/proofs/src/random-runs/found-scenarios.test.ts
@@ -3,7 +3,7 @@
 import * as runScenario from './run-scenario.js';
 import * as scenarios from './scenario.js';
 
-/** A call with nothing special about it. */
+/** A minimal call; the tests override what matters to them. */
 const CALL: scenarios.CallSpec = {
   atMs: 0,
   entry: 0,
@@ -19,11 +19,10 @@
   resends: [],
 };
 
-// The caller is told that its request was not run, although an engine had
-// started it: the request may be repeated, its content crashes the engine, it is
-// offered again, and the second offer is refused by a full queue. The refusal
-// spoke for the last attempt alone.
-nodeTest.test('refused after a crash is told as run', () => {
+// Guards against reporting "not run" for a request that an engine had started. The request is
+// retryable and its content crashes the engine. It is offered again, and a full queue refuses
+// the second offer. That refusal is true of the last attempt only.
+nodeTest.test('a refusal after a crash is not reported as not run', () => {
   runScenario.expectNoViolation({
     seed: 999984,
     entries: 1,
@@ -35,9 +34,8 @@
   });
 });
 
-// An entry's queue overflows while a less urgent request waits in it for its next
-// attempt. Found while the entry's queue was being built: the urgent caller was
-// shed and the less urgent request kept.
+// An entry's queue overflows while a less urgent request waits in it for its next attempt.
+// Guards against shedding the urgent request and keeping the less urgent one.
 nodeTest.test('overflow sheds the least urgent', () => {
   runScenario.expectNoViolation({
     seed: 556530,
@@ -53,9 +51,9 @@
   });
 });
 
-// An entry is killed while it runs a keyed request, and started again while the
-// configuration service is out. The caller sends its key again, and the new life,
-// which knows no document yet, told it that the request was not run.
+// An entry is killed while a request with a key runs, and restarts while the configuration
+// service is unavailable. The caller resends its key. Guards against the new incarnation, which
+// has no document yet, reporting that the request was not run.
 nodeTest.test('key sent to an entry without a document', () => {
   runScenario.expectNoViolation({
     seed: 493662,
@@ -71,9 +69,9 @@
   });
 });
 
-// The document says that the only backend server leaves while requests wait in
-// its queue behind slow ones. Started later, they would keep it busy long after
-// the operators wanted it gone; it refuses them at once instead.
+// The document marks the only backend server as leaving while requests wait in its queue behind
+// slow ones. Starting them later would keep it busy long after the operators wanted it gone, so
+// it must refuse them at once.
 nodeTest.test('leaving agent refuses what it queued', () => {
   const call = { ...CALL, atMs: 100, once: true, promptTokens: 200, answerTokens: 60 };
   runScenario.expectNoViolation({
@@ -90,9 +88,9 @@
   });
 });
 
-// The link closes, or goes silent, just before an agent that shuts down has
-// ended its last run. Stopped at that moment it would take the answers with it;
-// it waits until the entry has come back for them, and callers get them whole.
+// The link closes or goes silent just before an agent that is shutting down completes its last
+// run. If the agent stopped then, the responses would be lost. It must wait until the entry
+// reconnects to fetch them, so that callers get complete responses.
 ['linkClosed', 'linkSilent'].forEach((kind) =>
   nodeTest.test(`shutdown with ${kind}`, () => {
     const call = { ...CALL, atMs: 100, once: true, promptTokens: 200, answerTokens: 60 };
--- a/packages/proofs/src/random-runs/run-scenario.ts
+++ b/packages/proofs/src/random-runs/run-scenario.ts
@@ -1,4 +1,4 @@
-/** Runs one scenario on a virtual fleet with every invariant checked. */
+/** Runs one scenario on a virtual fleet and checks every invariant. */
 import * as core from '@toucanproxy/core';
 import * as invariants from '../invariants.js';
 import * as exampleDocument from '../mocks/example-document.js';
@@ -21,7 +21,7 @@
   fleet: fleetState.VirtualFleet;
 };
 
-/** Behaviour that a run may replace, to show that the checks can fail. */
+/** Parts of the code that a run may replace, to show that the checks can fail. */
 export type Broken = Partial<
   Pick<fleetState.FleetOptions, 'handleEntryEvent' | 'handleAgentEvent' | 'buildPolicy'>
 >;
@@ -29,10 +29,10 @@
 const SERVICE = 'brimwit';
 const WARM_UP_MS = 1500;
 const SLICE_MS = 250;
-/** Longest time from the last call to its final answer, pauses included. */
+/** Longest time from the last call to its final response, pauses of processes included. */
 const QUIET_MS = 26_000;
-/** Kept running after the last final answer, so that late starts show. */
-const AFTERMATH_MS = 4000;
+/** Time that a run continues after the last final response, so that late starts are detected. */
+const TRAILING_MS = 4000;
 const CLOCK_SKEW_MS = 40;
 
 const TIMING = {
@@ -51,8 +51,8 @@
   version: number;
 };
 
-/** Publishes the next document. */
-function publishNext(run: Run, leavingAgents: string[]): void {
+/** Publishes the next document version. */
+function publishDocument(run: Run, leavingAgents: string[]): void {
   const { fleet, scenario } = run;
   run.version += 1;
   const agents = fleet.options.agentIds.map((id) => ({
@@ -72,8 +72,8 @@
   );
 }
 
-/** Makes names of a number of processes. */
-function makeIds(prefix: string, count: number): string[] {
+/** Builds the ids of a number of processes. */
+function buildIds(prefix: string, count: number): string[] {
   return Array.from({ length: count }, (_, index) => `${prefix}-${index + 1}`);
 }
 
@@ -83,35 +83,35 @@
   const fleet = virtualFleet.createVirtualFleet({
     seed: scenario.seed,
     service: SERVICE,
-    entryIds: makeIds('entry', scenario.entries),
-    agentIds: makeIds('runner', scenario.agents),
+    entryIds: buildIds('entry', scenario.entries),
+    agentIds: buildIds('runner', scenario.agents),
     clockSkewMs: CLOCK_SKEW_MS,
     observe: (occurrence) => invariants.checkOccurrence(checker, occurrence),
     ...broken,
   });
   checker.fleet = fleet;
   const run: Run = { scenario, fleet, checker, version: 0 };
-  publishNext(run, []);
+  publishDocument(run, []);
   virtualFleet.advanceFleet(fleet, WARM_UP_MS);
   return run;
 }
 
-/** Builds a UUID of version 7, which says when it was issued. */
+/** Builds a version 7 UUID, which contains its time of issue. */
 function buildKey(issuedMs: number, serial: number): string {
   const time = Math.floor(issuedMs).toString(16).padStart(12, '0');
   const tail = serial.toString(16).padStart(12, '0');
   return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${tail}`;
 }
 
-/** Builds what a caller sends; its key says when it was issued, or not. */
+/** Builds a caller's request. Its key contains the time of issue, unless it is a plain key. */
 function buildPlan(
   spec: scenarios.CallSpec,
   contentId: string,
   fleet: fleetState.VirtualFleet,
 ): virtualCallers.CallPlan {
   const { promptTokens, answerTokens, stream, poison } = spec;
-  const timed = buildKey(fleet.nowMs, fleet.calls.length);
-  const key = spec.plainKey ? `key-${contentId}` : timed;
+  const timedKey = buildKey(fleet.nowMs, fleet.calls.length);
+  const key = spec.plainKey ? `key-${contentId}` : timedKey;
   return {
     service: SERVICE,
     path: spec.once ? '/v1/chat/completions' : '/v1/completions',
@@ -123,7 +123,7 @@
   };
 }
 
-/** Sends one call, and again by its plan until one of them has completed. */
+/** Sends a call, and resends it as its spec says until one of the calls has completed. */
 function sendWithResends(run: Run, spec: scenarios.CallSpec, contentId: string): void {
   const { fleet } = run;
   const plan = buildPlan(spec, contentId, fleet);
@@ -169,7 +169,7 @@
   });
 }
 
-/** Schedules every call and fault. */
+/** Schedules all calls and faults of a scenario. */
 function scheduleScenario(run: Run): void {
   const { fleet, scenario } = run;
   scenario.calls.forEach((spec, index) =>
@@ -177,7 +177,7 @@
   );
   const target: applyFault.FaultTarget = {
     fleet,
-    publish: (leavingAgents) => publishNext(run, leavingAgents),
+    publish: (leavingAgents) => publishDocument(run, leavingAgents),
     sendBurst: (fault) => sendBurst(run, fault),
   };
   scenario.faults.forEach((fault) =>
@@ -185,7 +185,7 @@
   );
 }
 
-/** Advances until a condition holds, an invariant is broken or the time is over. */
+/** Advances until a condition holds, an invariant is violated or the time is over. */
 function advanceUntil(run: Run, ms: number, isDone: () => boolean): void {
   const untilMs = run.fleet.nowMs + ms;
   while (run.fleet.nowMs < untilMs && run.checker.violations.length === 0 && !isDone()) {
@@ -194,15 +194,15 @@
   }
 }
 
-/** Starts every process that is down, so that nothing waits for it. */
+/** Starts every stopped process, so that nothing keeps waiting for one. */
 function startStopped(run: Run): void {
   [...run.fleet.entries.values(), ...run.fleet.agents.values()].forEach((process) =>
     fleetProcesses.startProcess(run.fleet, process),
   );
 }
 
-/** Checks that the document published last is in force everywhere. */
-function checkSpread(run: Run): void {
+/** Checks that the latest published document is active in every process. */
+function checkVersions(run: Run): void {
   const processes = [...run.fleet.entries.values(), ...run.fleet.agents.values()];
   processes
     .filter((process) => process.alive)
@@ -227,7 +227,7 @@
   return counts;
 }
 
-/** Runs one scenario to its end, or to the first violation. */
+/** Runs one scenario until it ends or violates an invariant. */
 export function runScenario(scenario: scenarios.Scenario, broken: Broken = {}): RunReport {
   const run = startRun(scenario, broken);
   const { fleet, checker } = run;
@@ -239,10 +239,10 @@
   const quietFromMs = fleet.nowMs + scenarios.LONGEST_FAULT_MS + scenarios.LONGEST_RESEND_MS;
   advanceUntil(run, QUIET_MS, () => fleet.nowMs > quietFromMs && isAnswered());
   startStopped(run);
-  advanceUntil(run, AFTERMATH_MS, () => false);
+  advanceUntil(run, TRAILING_MS, () => false);
   if (checker.violations.length === 0) {
     invariants.checkEnd(checker);
-    checkSpread(run);
+    checkVersions(run);
   }
   return {
     violations: checker.violations,
@@ -254,7 +254,7 @@
   };
 }
 
-/** Runs a scenario and throws where an invariant was broken. */
+/** Runs a scenario and throws if it violates an invariant. */
 export function expectNoViolation(scenario: scenarios.Scenario, broken: Broken = {}): RunReport {
   const report = runScenario(scenario, broken);
   const [first] = report.violations;
--- a/packages/proofs/src/random-runs/scenario.ts
+++ b/packages/proofs/src/random-runs/scenario.ts
@@ -1,4 +1,4 @@
-/** Scenarios of randomised runs: who calls, and what fails when. Plain data. */
+/** Scenarios of randomised runs: plain data that lists the calls and the faults with times. */
 import * as fastCheck from 'fast-check';
 
 export type Resend = { entry: number; afterMs: number };
@@ -7,21 +7,23 @@
   atMs: number;
   entry: number;
   urgent: boolean;
-  /** The route allows one dispatch only. */
+  /** The route allows only one dispatch of a request. */
   once: boolean;
   stream: boolean;
   promptTokens: number;
   answerTokens: number;
   timeoutMs: number;
-  /** When the caller leaves; 0 for never. */
+  /** When the caller disconnects; 0 for never. */
   leaveAfterMs: number;
+  /** The content crashes the engine. */
   poison: boolean;
-  /** The key does not say when it was issued. */
+  /** The key does not contain its time of issue. */
   plainKey: boolean;
-  /** Sent again with the same key, unless it completed by then. */
+  /** Resends with the same key; each is skipped if the call has completed by then. */
   resends: Resend[];
 };
 
+/** A fault; `told` means that the peers of a stopped process see its connections close. */
 export type FaultSpec = { atMs: number } & (
   | { kind: 'agentStopped'; agent: number; told: boolean; downMs: number }
   | { kind: 'entryStopped'; entry: number; told: boolean; downMs: number }
@@ -52,24 +54,24 @@
   faults: FaultSpec[];
 };
 
-/** Time in which calls and faults begin, milliseconds. */
+/** Length of the period in which calls and faults begin, milliseconds. */
 export const ACTIVE_MS = 8000;
 const MAX_ENTRIES = 3;
 const MAX_AGENTS = 4;
 export const LONGEST_FAULT_MS = 6000;
-/** Longest time after which a caller sends again, milliseconds. */
+/** Longest time after which a caller resends, milliseconds. */
 export const LONGEST_RESEND_MS = 9000;
 
 const index = fastCheck.nat({ max: 11 });
 const duration = fastCheck.integer({ min: 50, max: LONGEST_FAULT_MS });
 
-/** What scenarios may hold. */
+/** Options for generated scenarios. */
 export type ScenarioOptions = {
-  /** Callers send again under the same key. */
+  /** Some callers resend with the same key. */
   resends: boolean;
 };
 
-/** Builds callers' requests; resends need a key. */
+/** Builds the generator of calls. */
 function buildCalls(options: ScenarioOptions): fastCheck.Arbitrary<CallSpec> {
   const resend = fastCheck.record({
     entry: index,
@@ -100,7 +102,7 @@
   });
 }
 
-/** Builds one kind of fault from its fields. */
+/** Builds the generator of one kind of fault from those of its fields. */
 function buildFault<T extends Record<string, unknown>>(
   kind: FaultSpec['kind'],
   fields: { [K in keyof T]: fastCheck.Arbitrary<T[K]> },
@@ -109,7 +111,7 @@
   return fastCheck.record({ atMs, kind: fastCheck.constant(kind), ...fields }) as never;
 }
 
-/** Builds faults of every kind. */
+/** Builds the generator of faults of every kind. */
 function buildFaults(): fastCheck.Arbitrary<FaultSpec> {
   const some = fastCheck.uniqueArray(index, { minLength: 1, maxLength: 3 });
   const told = fastCheck.boolean();
@@ -147,7 +149,7 @@
   );
 }
 
-/** Builds whole scenarios. */
+/** Builds the generator of scenarios. */
 export function buildScenarios(options: ScenarioOptions): fastCheck.Arbitrary<Scenario> {
   return fastCheck.record({
     seed: fastCheck.noShrink(fastCheck.integer({ min: 1, max: 1_000_000 })),
--- a/packages/proofs/src/random-runs/soak.ts
+++ b/packages/proofs/src/random-runs/soak.ts
@@ -16,7 +16,7 @@
   ends: Record<string, number>;
 };
 
-/** Adds to a count. */
+/** Adds to one count of a table. */
 function addCount(counts: Record<string, number>, key: string, amount = 1): void {
   counts[key] = (counts[key] ?? 0) + amount;
 }
@@ -31,7 +31,7 @@
   report.calls.forEach((call) => addCount(totals.ends, call.outcomes[0]?.kind ?? 'left'));
 }
 
-/** Runs batches until the time is over or an invariant is broken. */
+/** Runs batches of scenarios until the time is over or an invariant is violated. */
 function runSoak(minutes: number, firstSeed: number): boolean {
   const totals: Totals = { runs: 0, events: 0, calls: 0, virtualMs: 0, faults: {}, ends: {} };
   const untilMs = Date.now() + minutes * MS_PER_MINUTE;
