--- a/packages/core/src/shared/document-store.test.ts
+++ b/packages/core/src/shared/document-store.test.ts
@@ -48,7 +48,7 @@
   assert.equal(fleet.dispatched.length, 0);
 });
 
-nodeTest.test('two documents with the same version', () => {
+nodeTest.test('process keeps the first of two documents with the same version', () => {
   // Two operators publish documents with the same version, and each reader gets one of them. Each
   // process must keep the one it received first and log the conflict once. The next version
   // resolves it.
--- a/packages/core/src/shared/key-homes.test.ts
+++ b/packages/core/src/shared/key-homes.test.ts
@@ -62,7 +62,7 @@
   });
 });
 
-nodeTest.test('two documents with the same version', () => {
+nodeTest.test('two documents with the same version give a key the same first home', () => {
   // Two operators publish different servers as version 5, and both declare it settled. The homes of
   // the previous version are the same in both documents, and both must ask them.
   const one = buildDocument(5, 5, { a: [1, 0], b: [1, 0], c: [5, 0] });
--- a/packages/gateway/src/app.ts
+++ b/packages/gateway/src/app.ts
@@ -44,9 +44,9 @@
 /** Length of the random id of a process incarnation (`life`), bytes. */
 const LIFE_ID_BYTES = 4;
 /**
- * Share of the revocation time for which a response of the store confirms the configuration. The
- * rest, 1.3 s of 5 s, covers watches that get no events for a second before the store drops its
- * history, and requests that are already on their way.
+ * Share of the time within which revoked credentials must stop working (`revocationMs`) for which
+ * a response of the store confirms the configuration. The rest, 1.3 s of 5 s, covers watches that
+ * get no events for a second before the store drops its history, and requests in transit.
  */
 const LEASE_SHARE = 0.74;
 /**
--- a/packages/gateway/src/clocks.ts
+++ b/packages/gateway/src/clocks.ts
@@ -13,7 +13,10 @@
 /** Function that reads all clocks at once. */
 export type ReadClocks = () => gateway.ClockReading;
 
-/** Change of the offset between two clocks from which one counts as stopped or set, ms. */
+/**
+ * Change of the offset between the wall clock and the steady clock, ms, at which we assume that one
+ * of them was stopped or set.
+ */
 const CLOCK_STEP_MS = 20;
 
 /**
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -44,9 +44,8 @@
   stopMs: number;
   /** What all gateways together may admit beyond a quota: a share of it plus a fixed amount. */
   quotaTolerance: gateway.QuotaTolerance;
-  /**
-   * Share of sends that may be retries, and a number of retries allowed in addition; all gateways.
-   */
+  /** Share of the sends of all gateways together that may be retries. */
   retryRatio: number;
+  /** Number of retries that all gateways together may make in addition to that share. */
   retryExtra: number;
 };
--- a/packages/gateway/src/peer-task.ts
+++ b/packages/gateway/src/peer-task.ts
@@ -139,7 +139,7 @@
  * sent to a gateway that has just started, and by such a gateway to the peers it learns of.
  *
  * Gateways that know different peers choose different schedulers for the same cell, and each of
- * those schedulers then grants all places (concurrency slots) of the cell. If 68 gateways are killed and restart
+ * those schedulers then grants all slots of the cell. If 68 gateways are killed and restart
  * together, they need some seconds to learn of each other through periodic reports, but only two
  * round trips through these lists. The reports reuse the last sequence number, since receivers
  * derive the age of the sender from it.
--- a/packages/gateway/src/store-follower.test.ts
+++ b/packages/gateway/src/store-follower.test.ts
@@ -34,7 +34,7 @@
   assert.ok(storeFollower.computeIntervalMs(shortest) > 0);
 });
 
-test('common prefix of keys', () => {
+test('longest common prefix of keys is found', () => {
   assert.equal(storeFollower.findSharedPrefix('op/config', 'servers/'), '');
   assert.equal(storeFollower.findSharedPrefix('a/config', 'a/servers/'), 'a/');
   assert.equal(storeFollower.findSharedPrefix('a/', 'a/servers/'), 'a/');
--- a/packages/gateway/src/store-reader.test.ts
+++ b/packages/gateway/src/store-reader.test.ts
@@ -91,7 +91,7 @@
     });
 }
 
-test('interval that becomes shorter while it elapses', async (context) => {
+test('shorter interval takes effect during the current wait', async (context) => {
   // No request is queued, so the next call to the store is an hour away. Then a request is queued
   // for this gateway to schedule. The call must be made at once, not at the end of the hour.
   const reading = { paths: [], revisions: [], intervalMs: LONG_MS };
@@ -109,7 +109,7 @@
   assert.deepEqual(reading.revisions.slice(0, 2), [7, 8]);
 });
 
-test('list whose pages have two epochs', async (context) => {
+test('list is read again if its pages have different epochs', async (context) => {
   // Guards against applying a list that is partly from before the store was restored: entries that
   // exist would be dropped.
   const responses = [
--- a/packages/proofs/src/soak/soak-statement-checks.ts
+++ b/packages/proofs/src/soak/soak-statement-checks.ts
@@ -10,7 +10,11 @@
 const LEAVING_SLACK_MS = 100;
 /** Requests in transit when a gateway receives a refusal arrive within this time, milliseconds. */
 const IN_TRANSIT_MS = 500;
-/** Tolerance at the end of a backoff, whose start differs between the two ends, milliseconds. */
+/**
+ * Tolerance at the end of a backoff, milliseconds. The gateway counts the backoff from the arrival
+ * of the refusal, but the records have the time at the backend server, and the refusal arrives some
+ * time after it was sent.
+ */
 const ARRIVAL_MS = 50;
 /** Requests that may reach a backend server from one gateway within a backoff. */
 const MAX_WITHIN_BACKOFF = 2;
--- a/packages/runtime/src/configuration-watch.ts
+++ b/packages/runtime/src/configuration-watch.ts
@@ -1,7 +1,7 @@
 /**
  * Watches one service document in the configuration service by long polling.
  *
- * It only reads. The first call returns at once; later calls wait in the service until there is a
+ * The watch only reads the document. The first call returns at once; later calls wait in the service until there is a
  * newer version or the wait time is over.
  */
 import * as timers from 'node:timers/promises';
--- a/packages/runtime/src/link-outbox.test.ts
+++ b/packages/runtime/src/link-outbox.test.ts
@@ -29,7 +29,7 @@
   return schema.create(schema.EntryMessageSchema, { body: { case: 'offer', value } });
 }
 
-nodeTest.test('agent that does not read', async (context) => {
+nodeTest.test('entry closes the link to an agent that does not read', async (context) => {
   // An agent hangs while its connection stays open. The entry queues offers up to the limit, then
   // closes the link instead of running out of memory.
   const sessions = new Set<http2.ServerHttp2Session>();
@@ -55,7 +55,7 @@
   await ended.promise;
 });
 
-nodeTest.test('entry that does not read', async (context) => {
+nodeTest.test('agent closes the link to an entry that does not read', async (context) => {
   // An entry hangs while the agent sends it a response. The agent queues parts up to the limit,
   // then closes the link; it keeps the response itself for the next link.
   const opened = createSignal<number>();
--- a/packages/runtime/src/metrics.test.ts
+++ b/packages/runtime/src/metrics.test.ts
@@ -6,7 +6,7 @@
 const MINUTE_MS = 60_000;
 const SERIES = { service: 'brimwit', tier: 'stall' };
 
-nodeTest.test('goodput and shed by tier', () => {
+nodeTest.test('goodput and shed requests are counted by tier', () => {
   const recorded = metrics.createMetrics();
   const observe = (code: schema.ResultCode, inTime: boolean, service = 'brimwit') =>
     metrics.recordObservation(recorded, { kind: 'outcome', ...SERIES, service, code, inTime });
--- a/packages/runtime/src/vm-list-poll.ts
+++ b/packages/runtime/src/vm-list-poll.ts
@@ -1,4 +1,7 @@
-/** Polls the platform's list of VMs for those that are leaving. The list lags behind. */
+/**
+ * Polls the platform's list of VMs for those that are leaving. The list lags behind the actual
+ * state of the VMs.
+ */
 import * as undici from 'undici';
 
 /**
