--- a/packages/core/src/shared/document-store.test.ts
+++ b/packages/core/src/shared/document-store.test.ts
@@ -19,7 +19,7 @@
   return entry;
 }
 
-nodeTest.test('a version reaches processes cut off from the service', () => {
+nodeTest.test('a version reaches processes that cannot reach the service', () => {
   // Only one entry reads the new version; the others cannot reach the configuration service. They
   // must learn of it from heartbeats, and each must fetch it from one peer only.
   const fleet = smallFleet.createSmallFleet(['e1', 'e2'], AGENTS);
@@ -48,7 +48,7 @@
   assert.equal(fleet.dispatched.length, 0);
 });
 
-nodeTest.test('two documents with the same version', () => {
+nodeTest.test('process keeps the first of two documents with the same version', () => {
   // Two operators publish documents with the same version, and each reader gets one of them. Each
   // process must keep the one it received first and log the conflict once. The next version
   // resolves it.
--- a/packages/core/src/shared/key-homes.test.ts
+++ b/packages/core/src/shared/key-homes.test.ts
@@ -62,7 +62,7 @@
   });
 });
 
-nodeTest.test('two documents with the same version', () => {
+nodeTest.test('two documents with the same version give a key the same first home', () => {
   // Two operators publish different servers as version 5, and both declare it settled. The homes of
   // the previous version are the same in both documents, and both must ask them.
   const one = buildDocument(5, 5, { a: [1, 0], b: [1, 0], c: [5, 0] });
@@ -73,7 +73,7 @@
   });
 });
 
-nodeTest.test('issue time of a key', () => {
+nodeTest.test('issue time is parsed from a key of UUID version 7 only', () => {
   assert.equal(keyTime.parseKeyIssueTime('0192f3a0-0000-7abc-9def-000000000001'), 0x0192f3a00000);
   assert.equal(keyTime.parseKeyIssueTime('0192f3a0-0000-4abc-9def-000000000001'), 0);
   assert.equal(keyTime.parseKeyIssueTime('order-17'), 0);
